--- a/bench/leader_load.py
+++ b/bench/leader_load.py
@@ -20,7 +20,7 @@
 import click
 import msgspec
 
-from gingerspar.coordination.books.ledger import Machine, MachineState
+from gingerspar.coordination.cluster.machine import Machine, MachineState
 from gingerspar.coordination.leader.dispatcher import Dispatcher, Stale
 from gingerspar.coordination.machines import fleet
 from gingerspar.protocol.messages import (
--- a/gingerspar/controller.py
+++ b/gingerspar/controller.py
@@ -9,20 +9,20 @@
 
 import msgspec
 
-from gingerspar.coordination.books.turns import Turns
+from gingerspar.coordination.cluster.job_order import Turns
 from gingerspar.coordination.jobs.claims import Claims
-from gingerspar.coordination.jobs.frontdoor import FrontDoor, problem
+from gingerspar.coordination.jobs.job_api import FrontDoor, problem
 from gingerspar.coordination.jobs.reconciler import Reconciler
 from gingerspar.coordination.jobs.relay import Relays
-from gingerspar.coordination.leader.command import CommandPost, longest_hold
 from gingerspar.coordination.leader.dispatcher import Dispatcher
-from gingerspar.coordination.leader.keeper import TermKeeper
-from gingerspar.coordination.leader.strain import Strain
+from gingerspar.coordination.leader.leader_runtime import CommandPost, longest_hold
+from gingerspar.coordination.leader.load_monitor import Strain
+from gingerspar.coordination.leader.term_manager import TermKeeper
 from gingerspar.coordination.machines.cloud import Cloud, CloudTrouble, NoCapacity
-from gingerspar.coordination.membership.reach import Prober, Reach
+from gingerspar.coordination.membership.reachability import Prober, Reach
 from gingerspar.coordination.membership.session import Session
 from gingerspar.coordination.membership.term import PeerNews, shows_itself
-from gingerspar.coordination.membership.visits import Visits
+from gingerspar.coordination.membership.worker_contacts import Visits
 from gingerspar.protocol import messages, names, peers
 from gingerspar.protocol.messages import MachineType, Malformed, Report, Steer
 from gingerspar.protocol.settings import OperatorSettings, Settings
--- a/gingerspar/coordination/books/needs.py
+++ b/gingerspar/coordination/cluster/capacity_index.py
@@ -13,7 +13,7 @@
 
 from sortedcontainers import SortedList
 
-from gingerspar.coordination.books.ledger import Machine, fits
+from gingerspar.coordination.cluster.machine import Machine, fits
 from gingerspar.protocol.messages import JobSpec
 
 MOST_NEEDS = 24  # kinds that are kept, the least recently asked for goes first
--- a/gingerspar/coordination/books/book.py
+++ b/gingerspar/coordination/cluster/cluster_state.py
@@ -9,10 +9,11 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from gingerspar.coordination.books.begin import BEGIN_AT_LAST, BEGIN_BY, KNOWN_AFTER, Largest
-from gingerspar.coordination.books.ends import Ends
-from gingerspar.coordination.books.estimates import Estimates
-from gingerspar.coordination.books.ledger import (
+from gingerspar.coordination.cluster.estimates import Estimates
+from gingerspar.coordination.cluster.expected_releases import Ends
+from gingerspar.coordination.cluster.job_order import Turns
+from gingerspar.coordination.cluster.job_runs import Backlog, GangState, JobRun
+from gingerspar.coordination.cluster.machine import (
     NOTHING,
     Machine,
     MachineState,
@@ -22,10 +23,9 @@
     slot_cost,
     slots,
 )
-from gingerspar.coordination.books.pool import Offer, Pool, allows
-from gingerspar.coordination.books.runs import Backlog, GangState, JobRun
-from gingerspar.coordination.books.service import FIRST, Services
-from gingerspar.coordination.books.turns import Turns
+from gingerspar.coordination.cluster.pool import Offer, Pool, allows
+from gingerspar.coordination.cluster.service_level import FIRST, Services
+from gingerspar.coordination.cluster.start_deadline import BEGIN_AT_LAST, BEGIN_BY, KNOWN_AFTER, Largest
 from gingerspar.protocol.messages import JobSpec, MachineType, Priority
 from gingerspar.protocol.settings import Objective, TeamFacts
 from gingerspar.storage.records import Order
--- a/gingerspar/coordination/books/estimates.py
+++ b/gingerspar/coordination/cluster/estimates.py
@@ -3,7 +3,7 @@
 import math
 from datetime import timedelta
 
-from gingerspar.coordination.books.ledger import run_time
+from gingerspar.coordination.cluster.machine import run_time
 from gingerspar.protocol.messages import JobSpec
 
 TRUST = 0.5  # of an estimate that is out of the common, before run times have been seen
--- a/gingerspar/coordination/books/ends.py
+++ b/gingerspar/coordination/cluster/expected_releases.py
@@ -10,8 +10,8 @@
 
 from sortedcontainers import SortedList
 
-from gingerspar.coordination.books.ledger import Placement, Usage
-from gingerspar.coordination.books.pool import Offer
+from gingerspar.coordination.cluster.machine import Placement, Usage
+from gingerspar.coordination.cluster.pool import Offer
 from gingerspar.protocol.messages import JobSpec
 
 
--- a/gingerspar/coordination/books/runs.py
+++ b/gingerspar/coordination/cluster/job_runs.py
@@ -9,7 +9,7 @@
 
 from sortedcontainers import SortedDict, SortedSet
 
-from gingerspar.coordination.books.ledger import NOTHING, Machine, Placement
+from gingerspar.coordination.cluster.machine import NOTHING, Machine, Placement
 from gingerspar.protocol.messages import JobSpec, JobStatus, Priority, Shape
 from gingerspar.storage.records import JobRecord, Order, TaskSet
 
--- a/gingerspar/coordination/books/ledger.py
+++ b/gingerspar/coordination/cluster/machine.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from gingerspar.coordination.books.hearing import Hearing
+from gingerspar.coordination.cluster.delivery import Hearing
 from gingerspar.protocol.messages import Cause, JobSpec, MachineType, Priority, TaskStatus
 
 TaskId = tuple[str, int]  # job and number
--- a/gingerspar/coordination/books/pool.py
+++ b/gingerspar/coordination/cluster/pool.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from gingerspar.coordination.books.ledger import Machine, MachineState, fits, run_time
-from gingerspar.coordination.books.needs import Need, Needs
+from gingerspar.coordination.cluster.capacity_index import Need, Needs
+from gingerspar.coordination.cluster.machine import Machine, MachineState, fits, run_time
 from gingerspar.protocol.messages import JobSpec, MachineType
 
 Offer = tuple[str, str, bool]  # type, zone, spot
--- a/gingerspar/coordination/books/service.py
+++ b/gingerspar/coordination/cluster/service_level.py
@@ -12,9 +12,9 @@
 from datetime import timedelta
 from enum import Enum
 
-from gingerspar.coordination.books.ledger import Machine, Placement, resource_weight
-from gingerspar.coordination.books.pool import Offer, Pool, allows
-from gingerspar.coordination.books.runs import JobRun
+from gingerspar.coordination.cluster.job_runs import JobRun
+from gingerspar.coordination.cluster.machine import Machine, Placement, resource_weight
+from gingerspar.coordination.cluster.pool import Offer, Pool, allows
 from gingerspar.protocol.messages import Shape
 
 log = logging.getLogger(__name__)
--- a/gingerspar/coordination/books/begin.py
+++ b/gingerspar/coordination/cluster/start_deadline.py
@@ -11,7 +11,7 @@
 
 from sortedcontainers import SortedList
 
-from gingerspar.coordination.books.ledger import resource_weight
+from gingerspar.coordination.cluster.machine import resource_weight
 from gingerspar.protocol.messages import JobSpec
 
 BEGIN_BY = timedelta(seconds=120)  # after its submission; the rest of the four minutes is for room and its image
--- a/gingerspar/coordination/jobs/claims.py
+++ b/gingerspar/coordination/jobs/claims.py
@@ -14,7 +14,7 @@
 import msgspec
 from sortedcontainers import SortedDict
 
-from gingerspar.coordination.books.turns import Turns
+from gingerspar.coordination.cluster.job_order import Turns
 from gingerspar.coordination.membership.session import Session
 from gingerspar.protocol.messages import JobStatus, KeyVersion, Put, Shape, Transaction
 from gingerspar.protocol.settings import OperatorSettings, TeamFacts
--- a/gingerspar/coordination/jobs/relay.py
+++ b/gingerspar/coordination/jobs/relay.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
 
-from gingerspar.coordination.jobs.frontdoor import problem
+from gingerspar.coordination.jobs.job_api import problem
 from gingerspar.protocol import peers
 from gingerspar.transport.peerlink import PeerLink
 from gingerspar.transport.server import Answer, settled
--- a/gingerspar/coordination/leader/dispatcher.py
+++ b/gingerspar/coordination/leader/dispatcher.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Iterable
 from datetime import datetime, timedelta
 
-from gingerspar.coordination.books.book import NO_GRACE, Book
-from gingerspar.coordination.books.hearing import TOLD_FOR, HearingState, gave_up
-from gingerspar.coordination.books.ledger import REPORTED, Machine, MachineState, Placement, TaskState
-from gingerspar.coordination.books.runs import FIRST_BACKOFF, GangState, JobRun, recordless, stranger
+from gingerspar.coordination.cluster.cluster_state import NO_GRACE, Book
+from gingerspar.coordination.cluster.delivery import TOLD_FOR, HearingState, gave_up
+from gingerspar.coordination.cluster.job_runs import FIRST_BACKOFF, GangState, JobRun, recordless, stranger
+from gingerspar.coordination.cluster.machine import REPORTED, Machine, MachineState, Placement, TaskState
 from gingerspar.coordination.membership.term import DRIFT, settle_span
-from gingerspar.coordination.placing.placer import Placer
+from gingerspar.coordination.placement.placer import Placer
 from gingerspar.protocol.messages import (
     Cause,
     Command,
--- a/gingerspar/coordination/leader/command.py
+++ b/gingerspar/coordination/leader/leader_runtime.py
@@ -11,11 +11,11 @@
 from operator import attrgetter
 from typing import Any
 
-from gingerspar.coordination.books.ledger import Machine, MachineState, Placement
-from gingerspar.coordination.books.pool import Offer
-from gingerspar.coordination.jobs.frontdoor import problem
+from gingerspar.coordination.cluster.machine import Machine, MachineState, Placement
+from gingerspar.coordination.cluster.pool import Offer
+from gingerspar.coordination.jobs.job_api import problem
 from gingerspar.coordination.leader.dispatcher import Dispatcher, Outdated, Stale
-from gingerspar.coordination.leader.strain import DECIDING, PLANNING, Strain
+from gingerspar.coordination.leader.load_monitor import DECIDING, PLANNING, Strain
 from gingerspar.coordination.machines import fleet
 from gingerspar.coordination.machines.cloud import Cloud, CloudTrouble, NoCapacity, NotEntitled
 from gingerspar.coordination.machines.roster import Roster
--- a/gingerspar/coordination/leader/keeper.py
+++ b/gingerspar/coordination/leader/term_manager.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from gingerspar.coordination.leader.command import CommandPost
 from gingerspar.coordination.leader.dispatcher import Dispatcher
-from gingerspar.coordination.leader.strain import Strain
-from gingerspar.coordination.membership.reach import Reach
+from gingerspar.coordination.leader.leader_runtime import CommandPost
+from gingerspar.coordination.leader.load_monitor import Strain
+from gingerspar.coordination.membership.reachability import Reach
 from gingerspar.coordination.membership.session import Session
 from gingerspar.coordination.membership.term import (
     FRESH,
@@ -20,7 +20,7 @@
     reason_to_raise,
     reason_to_resign,
 )
-from gingerspar.coordination.membership.visits import Visits
+from gingerspar.coordination.membership.worker_contacts import Visits
 from gingerspar.protocol.messages import KeyVersion, MachineType, Put, Transaction
 from gingerspar.protocol.settings import Facts
 from gingerspar.storage import records
--- a/gingerspar/coordination/machines/fleet.py
+++ b/gingerspar/coordination/machines/fleet.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from gingerspar.coordination.books.book import Book, Choice
-from gingerspar.coordination.books.ends import Spans
-from gingerspar.coordination.books.ledger import NOTHING, Machine, MachineState, Usage, fits
-from gingerspar.coordination.books.pool import Offer, allows
-from gingerspar.coordination.books.runs import JobRun
-from gingerspar.coordination.placing import placement as placing
+from gingerspar.coordination.cluster.cluster_state import Book, Choice
+from gingerspar.coordination.cluster.expected_releases import Spans
+from gingerspar.coordination.cluster.job_runs import JobRun
+from gingerspar.coordination.cluster.machine import NOTHING, Machine, MachineState, Usage, fits
+from gingerspar.coordination.cluster.pool import Offer, allows
+from gingerspar.coordination.placement import scoring
 from gingerspar.protocol.messages import JobSpec, MachineType, Priority
 
 log = logging.getLogger(__name__)
@@ -71,7 +71,7 @@
             if take > 0:
                 self._begun[place] = _less((cpus, gpus, memory), spec, take)
                 found += take
-        full = placing.slots(self._kind, spec)
+        full = scoring.slots(self._kind, spec)
         while found < count and self._empty and full:
             whole = min((count - found) // full, self._empty)
             if whole:
@@ -264,10 +264,10 @@
     best = 0.0
     warm = timedelta(0)
     for spec in specs:
-        mine = placing.slot_cost(kind, offer[2], spec)
+        mine = scoring.slot_cost(kind, offer[2], spec)
         if allows(spec, *offer) and mine != math.inf:
             # Against ordinary machines: a spot machine that was given back is seldom to be had again.
-            cheapest = min(placing.slot_cost(other, False, spec) for other in book.types.values())
+            cheapest = min(scoring.slot_cost(other, False, spec) for other in book.types.values())
             share = min(cheapest / max(mine, 1e-9), 1.0)
             best = max(best, share)
             if spec.priority.rank <= Priority.HIGH.rank and share > 0.9 and spec.image:
@@ -346,7 +346,7 @@
     """Whether something that waits could use an empty machine of this offer."""
     return any(
         allows(run.spec, *offer)
-        and placing.slots(kind, run.spec) > 0
+        and scoring.slots(kind, run.spec) > 0
         and book.team_room(run.spec) > 0
         and not (book.dear(kind, offer[2], run.spec) and book.can_wait(run, now))
         for run in book.backlog
--- a/gingerspar/coordination/machines/roster.py
+++ b/gingerspar/coordination/machines/roster.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable
 from datetime import timedelta
 
-from gingerspar.coordination.books.ledger import Machine
-from gingerspar.coordination.books.pool import Offer
+from gingerspar.coordination.cluster.machine import Machine
+from gingerspar.coordination.cluster.pool import Offer
 from gingerspar.coordination.membership.session import Session
 from gingerspar.protocol.messages import KeyVersion, Put, Transaction
 from gingerspar.storage import records
--- a/gingerspar/coordination/membership/reach.py
+++ b/gingerspar/coordination/membership/reachability.py
@@ -15,7 +15,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from gingerspar.coordination.membership.visits import Visits
+from gingerspar.coordination.membership.worker_contacts import Visits
 from gingerspar.protocol import messages, names
 from gingerspar.protocol.messages import Malformed, Report
 from gingerspar.transport.client import Client, Unanswered
--- a/gingerspar/coordination/membership/term.py
+++ b/gingerspar/coordination/membership/term.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from gingerspar.coordination.membership.reach import ReachState
+from gingerspar.coordination.membership.reachability import ReachState
 from gingerspar.protocol.settings import Facts, WorkerFacts
 from gingerspar.storage.view import read_pace
 
--- a/gingerspar/coordination/placing/room.py
+++ b/gingerspar/coordination/placement/gang_reservation.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from gingerspar.coordination.books.book import NO_GRACE, Book
-from gingerspar.coordination.books.ledger import Machine, Placement, resource_weight
-from gingerspar.coordination.books.needs import Need
-from gingerspar.coordination.books.pool import allows
-from gingerspar.coordination.books.runs import JobRun
-from gingerspar.coordination.placing import placement as placing
+from gingerspar.coordination.cluster.capacity_index import Need
+from gingerspar.coordination.cluster.cluster_state import NO_GRACE, Book
+from gingerspar.coordination.cluster.job_runs import JobRun
+from gingerspar.coordination.cluster.machine import Machine, Placement, resource_weight
+from gingerspar.coordination.cluster.pool import allows
+from gingerspar.coordination.placement import scoring
 
 log = logging.getLogger(__name__)
 
@@ -173,7 +173,7 @@
         for offer, kind, count in self._book.pool.ready():
             if allows(spec, *offer):
                 zone = offer[1] if spec.one_zone else ""
-                zones[zone] = zones.get(zone, 0) + count * placing.slots(kind, spec)
+                zones[zone] = zones.get(zone, 0) + count * scoring.slots(kind, spec)
         return max(zones.values(), default=0) >= spec.tasks
 
     def _by_stopping(self, run: JobRun, machine: Machine, now: timedelta) -> list[Slot]:
--- a/gingerspar/coordination/placing/placer.py
+++ b/gingerspar/coordination/placement/placer.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable, Iterable
 from datetime import timedelta
 
-from gingerspar.coordination.books.book import Book
-from gingerspar.coordination.books.ledger import Machine, fits
-from gingerspar.coordination.books.pool import ROUNDING, Offer, allows
-from gingerspar.coordination.books.runs import Family, GangState, JobRun, Least
-from gingerspar.coordination.books.service import FIRST
-from gingerspar.coordination.placing import placement as placing
-from gingerspar.coordination.placing.limits import LimitKeeper
-from gingerspar.coordination.placing.room import RoomMaker
+from gingerspar.coordination.cluster.cluster_state import Book
+from gingerspar.coordination.cluster.job_runs import Family, GangState, JobRun, Least
+from gingerspar.coordination.cluster.machine import Machine, fits
+from gingerspar.coordination.cluster.pool import ROUNDING, Offer, allows
+from gingerspar.coordination.cluster.service_level import FIRST
+from gingerspar.coordination.placement import scoring
+from gingerspar.coordination.placement.gang_reservation import RoomMaker
+from gingerspar.coordination.placement.team_limits import LimitKeeper
 from gingerspar.protocol.messages import JobSpec, Priority
 from gingerspar.storage.records import Order
 
@@ -236,12 +236,12 @@
         if kept:
             there = {machine.name for machine in machines}
             machines = machines + [m for m in kept if m.name not in there and self._ready(m, spec)]
-        scorer = placing.Scorer(spec, book.types, now)
-        found = placing.choose_all(spec, machines, spec.tasks, scorer)
+        scorer = scoring.Scorer(spec, book.types, now)
+        found = scoring.choose_all(spec, machines, spec.tasks, scorer)
         dear = self._prolonging(spec, now)
         if found is not None and any(map(dear, set(found))):
             cheap = [machine for machine in machines if not dear(machine)]
-            cheaper = placing.choose_all(spec, cheap, spec.tasks, scorer)
+            cheaper = scoring.choose_all(spec, cheap, spec.tasks, scorer)
             if cheaper is not None:
                 found = cheaper
             elif book.can_wait(run, now) and self._room.make_among(run, lambda machine: not dear(machine), now):
@@ -303,9 +303,9 @@
         if not late and spec.priority.rank > Priority.HIGH.rank and book.can_wait(run, now):
             dear = self._prolonging(spec, now)
             machines = [machine for machine in machines if not dear(machine)]
-        zones = placing.zone_room(spec, run.live) if spec.one_zone or spec.spread else None
+        zones = scoring.zone_room(spec, run.live) if spec.one_zone or spec.spread else None
         if len(run.open) < sum(machine.room_for(spec) for machine in machines):
-            machines = placing.ranked(machines, placing.Scorer(spec, book.types, now))
+            machines = scoring.ranked(machines, scoring.Scorer(spec, book.types, now))
         attempt, left = run.record.attempt, team_room
         if run.suspect:
             left = min(left, 1 - len(run.places))  # one task shows whether it fails again; the others take no place
@@ -326,7 +326,7 @@
                 left -= 1
                 room -= 1
                 if zones is not None:
-                    zones = placing.zone_room(spec, run.live)
+                    zones = scoring.zone_room(spec, run.live)
             if left <= 0 or not run.open:
                 break
         if late and run.places:
@@ -342,7 +342,7 @@
             kind = machine.kind
             if kind is None or not self._book.dear(kind, machine.spot, spec):
                 return False
-            return ends > placing.busy_until(machine, now)
+            return ends > scoring.busy_until(machine, now)
 
         return prolongs
 
@@ -351,7 +351,7 @@
 
         Unless no machine without accelerators can do it at all.
         """
-        if not any(not kind.gpus and placing.slots(kind, spec) for kind in self._book.types.values()):
+        if not any(not kind.gpus and scoring.slots(kind, spec) for kind in self._book.types.values()):
             return machines
         return [machine for machine in machines if self._spare(spec, machine)]
 
--- a/gingerspar/coordination/placing/placement.py
+++ b/gingerspar/coordination/placement/scoring.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Mapping, Sequence
 from datetime import timedelta
 
-from gingerspar.coordination.books.ledger import Machine, Placement, run_time, slot_cost, slots
-from gingerspar.coordination.books.pool import Offer, allows
+from gingerspar.coordination.cluster.machine import Machine, Placement, run_time, slot_cost, slots
+from gingerspar.coordination.cluster.pool import Offer, allows
 from gingerspar.protocol.messages import JobSpec, MachineType, Priority
 
 
--- a/gingerspar/coordination/placing/limits.py
+++ b/gingerspar/coordination/placement/team_limits.py
@@ -3,10 +3,10 @@
 import logging
 from datetime import timedelta
 
-from gingerspar.coordination.books.book import Book
-from gingerspar.coordination.books.ledger import Placement
-from gingerspar.coordination.books.runs import JobRun
-from gingerspar.coordination.placing.room import (
+from gingerspar.coordination.cluster.cluster_state import Book
+from gingerspar.coordination.cluster.job_runs import JobRun
+from gingerspar.coordination.cluster.machine import Placement
+from gingerspar.coordination.placement.gang_reservation import (
     KEEP_AT_MOST,
     KEEP_PAUSE,
     PREEMPT_AFTER,
--- a/run.py
+++ b/run.py
@@ -11,7 +11,7 @@
 
 TARGET = Path(__file__).resolve().parent / "target"
 # All that the sources import from elsewhere: it has its compiled files beside it, and has to be there
-# before Python is told to look for compiled files in another place (tests/test_start.py).
+# before Python is told to look for compiled files in another place (tests/test_startup_imports.py).
 OTHERS = (
     "asyncio", "base64", "click", "collections", "contextlib", "dataclasses", "enum", "functools", "heapq",
     "importlib.metadata", "itertools", "logging", "math", "msgspec", "pathlib", "random", "re", "secrets", "socket",
--- a/tests/test_needs.py
+++ b/tests/test_capacity_index.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from gingerspar.coordination.books.book import Book
-from gingerspar.coordination.books.ledger import Machine, MachineState, Placement, TaskState, fits
-from gingerspar.coordination.books.needs import MOST_NEEDS
-from gingerspar.coordination.books.pool import allows
-from gingerspar.coordination.books.runs import JobRun
+from gingerspar.coordination.cluster.capacity_index import MOST_NEEDS
+from gingerspar.coordination.cluster.cluster_state import Book
+from gingerspar.coordination.cluster.job_runs import JobRun
+from gingerspar.coordination.cluster.machine import Machine, MachineState, Placement, TaskState, fits
+from gingerspar.coordination.cluster.pool import allows
 from gingerspar.protocol.messages import JobSpec, JobStatus, MachineType, Priority, Shape
 from gingerspar.protocol.settings import TeamFacts
 from gingerspar.storage.records import JobRecord, TaskSet
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from gingerspar.coordination.books.turns import Turns
+from gingerspar.coordination.cluster.job_order import Turns
 from gingerspar.coordination.jobs.claims import CLAIM_BY, Change, Claims, Held, claimed, with_results
 from gingerspar.coordination.jobs.reconciler import lapsed
 from gingerspar.protocol import messages
--- a/tests/test_meetings.py
+++ b/tests/test_combined_failures.py
@@ -9,7 +9,7 @@
 from gingerspar.protocol.settings import WorkerFacts
 from tests.standins.cloud import settle
 from tests.standins.cluster import NAMES, Cluster, job
-from tests.standins.simulated import SimulatedClock, play
+from tests.standins.simulated_time import SimulatedClock, play
 from tests.standins.worker import LEASE
 
 
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -9,7 +9,7 @@
 from tests.standins.cloud import settle
 from tests.standins.cluster import NAMES, Cluster
 from tests.standins.state import answer
-from tests.test_alone import running
+from tests.test_isolated_leader import running
 
 BACK = 0.3  # seconds
 
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gingerspar.coordination.books.estimates import Estimates
+from gingerspar.coordination.cluster.estimates import Estimates
 from gingerspar.protocol.messages import JobSpec, Priority, Shape
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from gingerspar.coordination.books.pool import Offer
+from gingerspar.coordination.cluster.pool import Offer
 from gingerspar.coordination.machines import fleet
 from tests.tracing import Player
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingerspar.coordination.leader.command import CommandPost
 from gingerspar.coordination.leader.dispatcher import Dispatcher
-from gingerspar.coordination.leader.strain import Strain
+from gingerspar.coordination.leader.leader_runtime import CommandPost
+from gingerspar.coordination.leader.load_monitor import Strain
 from gingerspar.protocol import messages
 from gingerspar.protocol.messages import MachineType, Malformed, Report
 from gingerspar.protocol.settings import OperatorSettings, WorkerFacts
--- a/tests/test_checks.py
+++ b/tests/test_invariant_checks.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.standins.cluster import Cluster, job
-from tests.standins.simulated import SimulatedClock, play
+from tests.standins.simulated_time import SimulatedClock, play
 from tests.standins.users import WAITED, Users
 
 NAME = "wk-000001"
--- a/tests/test_frontdoor.py
+++ b/tests/test_job_api.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from gingerspar.coordination.jobs.frontdoor import MOST_WAITING, POLL_WAIT, STATE_GONE, WRITE_WAIT, FrontDoor
+from gingerspar.coordination.jobs.job_api import MOST_WAITING, POLL_WAIT, STATE_GONE, WRITE_WAIT, FrontDoor
 from gingerspar.protocol.messages import MachineType
 from gingerspar.protocol.settings import TeamFacts
 from gingerspar.storage.view import Phase, WatchedView
--- a/tests/test_command.py
+++ b/tests/test_leader_runtime.py
@@ -9,9 +9,10 @@
 
 import msgspec
 
-from gingerspar.coordination.books.ledger import MachineState, Placement, TaskState
-from gingerspar.coordination.books.runs import JobRun
-from gingerspar.coordination.leader.command import (
+from gingerspar.coordination.cluster.job_runs import JobRun
+from gingerspar.coordination.cluster.machine import MachineState, Placement, TaskState
+from gingerspar.coordination.leader.dispatcher import Dispatcher
+from gingerspar.coordination.leader.leader_runtime import (
     HOLD_BUSY,
     HOLD_IDLE,
     HOLD_MOST,
@@ -20,8 +21,7 @@
     _hold_for,
     longest_hold,
 )
-from gingerspar.coordination.leader.dispatcher import Dispatcher
-from gingerspar.coordination.leader.strain import Strain, StrainState
+from gingerspar.coordination.leader.load_monitor import Strain, StrainState
 from gingerspar.coordination.machines.cloud import Cloud, NotEntitled
 from gingerspar.protocol.messages import (
     JobSpec,
--- a/tests/test_lasting_meetings.py
+++ b/tests/test_long_failures.py
@@ -7,10 +7,10 @@
 
 from tests.standins.cloud import settle
 from tests.standins.cluster import NAMES, Cluster, job
-from tests.standins.simulated import SimulatedClock, play
+from tests.standins.simulated_time import SimulatedClock, play
 from tests.standins.users import Users
 from tests.standins.worker import LEASE
-from tests.test_meetings import _cancelled, leader_and_others, on_machines, started
+from tests.test_combined_failures import _cancelled, leader_and_others, on_machines, started
 
 
 async def _out_of_touch(who: str) -> None:
--- a/tests/test_more_meetings.py
+++ b/tests/test_more_combined_failures.py
@@ -13,10 +13,10 @@
 from gingerspar.storage import records
 from tests.standins.cloud import ARRAY, settle
 from tests.standins.cluster import NAMES, Cluster, job
-from tests.standins.simulated import SimulatedClock, play
+from tests.standins.simulated_time import SimulatedClock, play
 from tests.standins.users import Users
 from tests.standins.worker import LEASE, Worker
-from tests.test_meetings import _cancelled, _done, _is, job_name, leader_and_others, on_machines, started
+from tests.test_combined_failures import _cancelled, _done, _is, job_name, leader_and_others, on_machines, started
 
 # -- every team is at its limit, jobs are cancelled whose machines don't stop them, the leader changes ------------
 
--- a/tests/test_drawn_meetings.py
+++ b/tests/test_random_failures.py
@@ -1,6 +1,6 @@
 """Troubles that were drawn meet, by simulated time; whatever they are, no rule is broken and all jobs end.
 
-Each seed is one day of two minutes. `python -m tests.test_drawn_meetings 100 200` plays more of them, with
+Each seed is one day of two minutes. `python -m tests.test_random_failures 100 200` plays more of them, with
 `more` behind it those with the troubles of "More meetings to hunt", with `log` what the controllers log.
 """
 
@@ -12,8 +12,8 @@
 import pytest
 
 from tests.standins.cluster import Cluster
-from tests.standins.simulated import SimulatedClock, play
-from tests.standins.troubles import Troubles
+from tests.standins.failures import Troubles
+from tests.standins.simulated_time import SimulatedClock, play
 from tests.standins.users import Users
 
 JOBS = 20
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from gingerspar.coordination.books.ends import Spans
-from gingerspar.coordination.books.ledger import Machine, MachineState
+from gingerspar.coordination.cluster.expected_releases import Spans
+from gingerspar.coordination.cluster.machine import Machine, MachineState
 from gingerspar.coordination.leader.dispatcher import Dispatcher
 from gingerspar.coordination.machines.roster import plan_groups
-from gingerspar.coordination.placing import placer
+from gingerspar.coordination.placement import placer
 from gingerspar.protocol.messages import (
     Cause,
     JobSpec,
--- a/tests/test_service.py
+++ b/tests/test_service_level.py
@@ -2,10 +2,10 @@
 
 from datetime import timedelta
 
-from gingerspar.coordination.books.ledger import Machine, MachineState, TaskState
-from gingerspar.coordination.books.runs import JobRun
-from gingerspar.coordination.books.service import SHARE, ServiceState
-from gingerspar.coordination.books.turns import PER_DOUBLING, Turns
+from gingerspar.coordination.cluster.job_order import PER_DOUBLING, Turns
+from gingerspar.coordination.cluster.job_runs import JobRun
+from gingerspar.coordination.cluster.machine import Machine, MachineState, TaskState
+from gingerspar.coordination.cluster.service_level import SHARE, ServiceState
 from gingerspar.coordination.leader.dispatcher import Dispatcher
 from gingerspar.protocol.messages import JobSpec, JobStatus, MachineType, Priority, Shape
 from gingerspar.protocol.settings import Objective, TeamFacts, WorkerFacts
--- a/tests/test_begin.py
+++ b/tests/test_start_deadline.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from gingerspar.coordination.books.begin import BEGIN_BY, Largest
-from gingerspar.coordination.books.ledger import MachineState, TaskState
+from gingerspar.coordination.cluster.machine import MachineState, TaskState
+from gingerspar.coordination.cluster.start_deadline import BEGIN_BY, Largest
 from gingerspar.coordination.leader.dispatcher import Dispatcher
 from gingerspar.protocol.messages import JobSpec, JobStatus, MachineType, Priority, Shape
 from gingerspar.protocol.settings import TeamFacts, WorkerFacts
--- a/tests/test_term.py
+++ b/tests/test_term.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gingerspar.coordination.membership.reach import Reach, ReachState
+from gingerspar.coordination.membership.reachability import Reach, ReachState
 from gingerspar.coordination.membership.term import (
     Knowledge,
     PeerNews,
@@ -14,7 +14,7 @@
     settle_span,
     too_short_to_cancel,
 )
-from gingerspar.coordination.membership.visits import Visits
+from gingerspar.coordination.membership.worker_contacts import Visits
 from gingerspar.protocol.settings import CloudFacts, Facts, StateFacts, WorkerFacts
 
 NOW = timedelta(seconds=100)
--- a/tests/tracing.py
+++ b/tests/tracing.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from gingerspar.coordination.books.ledger import MachineState
+from gingerspar.coordination.cluster.machine import MachineState
 from gingerspar.coordination.leader.dispatcher import Dispatcher, Outdated, Stale
 from gingerspar.coordination.machines import fleet
 from gingerspar.protocol.messages import (
