--- a/bench/leader_load.py
+++ b/bench/leader_load.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from gingerspar.coordination.cluster.machine import Machine, MachineState
-from gingerspar.coordination.leader.dispatcher import Dispatcher, Stale
+from gingerspar.coordination.leader.dispatcher import Dispatcher, StaleReport
 from gingerspar.coordination.machines import fleet
 from gingerspar.protocol.messages import (
     Cause,
@@ -85,10 +85,10 @@
             self._add(f"n-{number:06d}", "plain" if number % 3 else "cards", "ab"[number % 2], number % 4 == 0)
 
     def _add(self, name: str, kind: str, zone: str, spot: bool) -> None:
-        self.leader.book.add_machine(name, kind, zone, spot, self.now, MachineState.BOOTING)
+        self.leader.cluster_state.add_machine(name, kind, zone, spot, self.now, MachineState.BOOTING)
         report = Report(name, "10.0.0.9:1", kind, zone, 1, 1, 1, spot, None, msgspec.Raw(b"[]"))
-        machine = self.leader.report(report, self.now)
-        machine.enlist()
+        machine = self.leader.handle_report(report, self.now)
+        machine.mark_rostered()
         self.workers[name] = Worker(machine)
         heapq.heappush(self._due, (self.now + REPORT * self.random.random(), name))
 
@@ -180,10 +180,10 @@
             msgspec.Raw(encode(listed)),
         )
         try:
-            machine = self.leader.report(report, self.now)
-        except Stale:
+            machine = self.leader.handle_report(report, self.now)
+        except StaleReport:
             return
-        for command in self.leader.commands(machine, report, self.now):
+        for command in self.leader.take_commands(machine, report, self.now):
             key = (command.task, command.attempt)
             if command.verb is Verb.RUN:
                 self._start(worker, key)
@@ -223,23 +223,23 @@
         if self.now >= self._ticked + TICK:
             self._ticked = self.now
             self.leader.tick(self.now, self.now)
-        if self.leader.dirty:
-            self.leader.place(self.now)
+        if self.leader.needs_placement:
+            self.leader.place_tasks(self.now)
         self._spent(began)
         self._books()
 
     def _books(self) -> None:
         """What claimants would write."""
-        for job, run in list(self.leader.book.unsaved.items()):
+        for job, run in list(self.leader.cluster_state.unrecorded.items()):
             if run.finished.full:
                 self.leader.set_record(job, None, None, self.now)
-        for run in list(self.leader.backlog.lacking_attempt.values()):
+        for run in list(self.leader.backlog.awaiting_attempt.values()):
             self._record(run.spec, run.record.attempt + 1)
 
     def plan(self) -> dict[object, int]:
         """What the fleet's planning costs; nothing is rented here."""
         began = time.process_time()
-        found = fleet.wanted(self.leader.book, fleet.Refusals(), self.now)
+        found = fleet.plan_rentals(self.leader.cluster_state, fleet.Refusals(), self.now)
         self._spent(began)
         return dict(found)
 
--- a/gingerspar/cli.py
+++ b/gingerspar/cli.py
@@ -67,9 +67,9 @@
     settings, own = _load(config, operator)
     logging.basicConfig(level=_log_level(), format="%(levelname)s %(name)s %(message)s", stream=sys.stderr)
     from gingerspar.controller import Controller
-    from gingerspar.coordination.membership.term import too_short_to_cancel
+    from gingerspar.coordination.membership.term import cancel_limit_problem
 
-    too_short = too_short_to_cancel(settings.facts)
+    too_short = cancel_limit_problem(settings.facts)
     if too_short is not None:
         logging.getLogger(__name__).error("%s", too_short)  # the rest is served all the same
 
@@ -96,9 +96,9 @@
 def check_config(config: Path, operator: Path | None) -> None:
     """Check settings files and say what is wrong with them."""
     settings, own = _load(config, operator)
-    from gingerspar.coordination.membership.term import too_short_to_cancel
+    from gingerspar.coordination.membership.term import cancel_limit_problem
 
-    too_short = too_short_to_cancel(settings.facts)
+    too_short = cancel_limit_problem(settings.facts)
     if too_short is not None:
         _refuse(config, BadSettings(too_short))
     click.echo(f"{settings.node}: settings are fine")
@@ -110,7 +110,7 @@
 
 
 def _ask(node: str, method: str, path: str, body: bytes | None = None) -> None:
-    from gingerspar.transport.client import Client, Unanswered
+    from gingerspar.transport.client import Client, NoAnswer
 
     async def ask() -> tuple[int, bytes]:
         client = Client(node)
@@ -123,7 +123,7 @@
         raise click.BadParameter("expected HOST:PORT", param_hint="--node")
     try:
         status, answer = asyncio.run(ask())
-    except Unanswered as error:
+    except NoAnswer as error:
         raise click.ClickException(f"no answer: {error}") from error
     click.echo(answer.decode(errors="replace"))
     if status >= 400:
--- a/gingerspar/controller.py
+++ b/gingerspar/controller.py
@@ -9,22 +9,22 @@
 
 import msgspec
 
-from gingerspar.coordination.cluster.job_order import Turns
-from gingerspar.coordination.jobs.claims import Claims
-from gingerspar.coordination.jobs.job_api import FrontDoor, problem
+from gingerspar.coordination.cluster.job_order import JobOrder
+from gingerspar.coordination.jobs.claims import ClaimManager
+from gingerspar.coordination.jobs.job_api import JobApi, error_answer
 from gingerspar.coordination.jobs.reconciler import Reconciler
-from gingerspar.coordination.jobs.relay import Relays
+from gingerspar.coordination.jobs.relay import RequestRelay
 from gingerspar.coordination.leader.dispatcher import Dispatcher
-from gingerspar.coordination.leader.leader_runtime import CommandPost, longest_hold
-from gingerspar.coordination.leader.load_monitor import Strain
-from gingerspar.coordination.leader.term_manager import TermKeeper
-from gingerspar.coordination.machines.cloud import Cloud, CloudTrouble, NoCapacity
-from gingerspar.coordination.membership.reachability import Prober, Reach
+from gingerspar.coordination.leader.leader_runtime import LeaderRuntime, longest_hold
+from gingerspar.coordination.leader.load_monitor import LoadMonitor
+from gingerspar.coordination.leader.term_manager import TermManager
+from gingerspar.coordination.machines.cloud import CloudClient, CloudError, NoCapacity
+from gingerspar.coordination.membership.reachability import Prober, WorkerReachability
 from gingerspar.coordination.membership.session import Session
-from gingerspar.coordination.membership.term import PeerNews, shows_itself
-from gingerspar.coordination.membership.worker_contacts import Visits
+from gingerspar.coordination.membership.term import PeerStatus, is_liveness_fresh
+from gingerspar.coordination.membership.worker_contacts import WorkerContacts
 from gingerspar.protocol import messages, names, peers
-from gingerspar.protocol.messages import MachineType, Malformed, Report, Steer
+from gingerspar.protocol.messages import MachineType, Malformed, Redirect, Report
 from gingerspar.protocol.settings import OperatorSettings, Settings
 from gingerspar.storage import records
 from gingerspar.storage.client import StateClient
@@ -32,8 +32,8 @@
 from gingerspar.storage.view import WatchedView
 from gingerspar.transport.clock import Clock
 from gingerspar.transport.peerlink import PeerLink
-from gingerspar.transport.server import Answer, Request, Server, settled
-from gingerspar.transport.waits import within
+from gingerspar.transport.server import Answer, Request, Server, resolve_answer
+from gingerspar.transport.waits import wait_for_event
 
 log = logging.getLogger(__name__)
 
@@ -76,50 +76,57 @@
         )
         self._view = WatchedView(self._client, self._clock, rps=facts.state.rps, nodes=facts.size)
         self._session = Session(self._node, self._client, self._view, self._clock, operator.session_ttl)
-        turns = Turns(facts.objectives)
-        self._claims = Claims(self._node, self._client, self._view, self._session, self._clock, teams, operator, turns)
-        self._door = FrontDoor(self._client, self._view, self._claims, self._clock, teams)
-        self._cloud = Cloud(settings.services.cloud, self._clock, facts.cloud.rps)
+        job_order = JobOrder(facts.objectives)
+        self._claims = ClaimManager(
+            self._node, self._client, self._view, self._session, self._clock, teams, operator, job_order
+        )
+        self._job_api = JobApi(self._client, self._view, self._claims, self._clock, teams)
+        self._cloud = CloudClient(settings.services.cloud, self._clock, facts.cloud.rps)
         self._link = PeerLink({peer.node: peer.address for peer in settings.peers}, self._hear, self._clock)
-        self._relays = Relays(self._node, self._link, self._serve_user)
+        self._request_relay = RequestRelay(self._node, self._link, self._serve_user)
         self._began = self._clock.now()
-        self._strain = Strain(self._clock)
+        self._load_monitor = LoadMonitor(self._clock)
         self._server = Server(self._handle, facts.machine_limits.fd_limit, self._clock)
         self._types: list[MachineType] = []
-        self._news: dict[str, PeerNews] = {}
-        self._visits = Visits()
-        self._reach = Reach(self._visits)
+        self._peer_status: dict[str, PeerStatus] = {}
+        self._contacts = WorkerContacts()
+        self._reachability = WorkerReachability(self._contacts)
         self._sample: list[str] = []  # addresses of machines that the leader told of
         self._counts: dict[str, int] = {}
         self._led = asyncio.Event()  # what reports wait for that came while nobody commanded
-        self._keeper = TermKeeper(
+        self._term_manager = TermManager(
             self._node,
             self._client,
             self._view,
             self._session,
             self._clock,
             facts,
-            self._visits,
-            self._reach,
-            self._news,
+            self._contacts,
+            self._reachability,
+            self._peer_status,
             self._link,
-            self._strain,
+            self._load_monitor,
         )
-        self._keeper.use(self._peer_heard, lambda: self._types, self._make_post)
+        self._term_manager.set_callbacks(self._peer_heard, lambda: self._types, self._make_runtime)
         self._prober = Prober(
-            self._reach, self._visits, self._clock, self._keeper.doubts, self._machines_to_ask, self._random
+            self._reachability,
+            self._contacts,
+            self._clock,
+            self._term_manager.doubts_leader,
+            self._machines_to_ask,
+            self._random,
         )
         self._reconciler = Reconciler(
-            self._client, self._view, self._session, self._keeper.dispatching, operator.sweep_batch
+            self._client, self._view, self._session, self._term_manager.is_dispatching, operator.sweep_batch
         )
         self._view.on_term.append(self._term_changed)
-        self._claims.reachable = self._dispatcher_reachable
+        self._claims.dispatcher_reachable = self._dispatcher_reachable
         self._claims.hand_over = self._hand_over
-        self._door.tell_cancelled = self._tell_cancelled
-        self._door.types = lambda: {kind.name: kind for kind in self._types}
-        self._door.running = self._running
-        self._door.peer_has_state = self._peer_has_state
-        self._door.hears_peers = self._hears_peers
+        self._job_api.notify_cancelled = self._tell_cancelled
+        self._job_api.types = lambda: {kind.name: kind for kind in self._types}
+        self._job_api.running = self._running
+        self._job_api.peer_has_state = self._peer_has_state
+        self._job_api.has_peer_contact = self._hears_peers
 
     # -- life -----------------------------------------------------------------
 
@@ -129,14 +136,14 @@
         self._server.listen(int(port), host)
         loops = [
             self._view.follow(),
-            self._session.keep(),
+            self._session.run(),
             self._claims.run_claims(),
             self._claims.run_results(),
-            self._door.run_submissions(),
-            self._door.run_questions(),
+            self._job_api.run_submissions(),
+            self._job_api.run_status_requests(),
             self._reconciler.run(),
-            self._keeper.keep(),
-            self._prober.keep(),
+            self._term_manager.run(),
+            self._prober.run(),
             self._beat(),
             self._keep_catalog(),
         ]
@@ -152,7 +159,7 @@
         """Stops listening and speaking at once; for a node that shares its process with others."""
         self._server.stop()
         self._link.stop()
-        self._keeper.end()
+        self._term_manager.resign()
 
     async def _forever(self, loop: Coroutine[Any, Any, None]) -> None:
         """A loop that ends by an error would leave a node that only seems alive."""
@@ -171,23 +178,23 @@
         if path == names.PATH_REPORT and method == "POST":
             return self._report(request)
         if path == names.PATH_UP and method == "GET":
-            return self._door.health()
+            return self._job_api.health()
         if path == names.PATH_JOBS or path.startswith(names.PATH_JOBS + "/"):
             peer = self._better_peer()
             if peer is not None:
-                return self._relays.ask(peer, method, path, request.body)
+                return self._request_relay.forward(peer, method, path, request.body)
             return self._serve_user(method, path, request.body)
-        return problem(404, "no such path")
+        return error_answer(404, "no such path")
 
     def _serve_user(self, method: str, path: str, body: bytes) -> Answer | Awaitable[Answer]:
         if path == names.PATH_JOBS:
-            return self._door.submit(body) if method == "POST" else problem(405, "use POST")
+            return self._job_api.submit(body) if method == "POST" else error_answer(405, "use POST")
         rest = path[len(names.PATH_JOBS) + 1 :]
         if method == "GET":
-            return self._door.ask(rest)
+            return self._job_api.status(rest)
         if method == "POST" and rest.endswith(names.PATH_ABORT):
-            return self._door.cancel(rest[: -len(names.PATH_ABORT)])
-        return problem(405, "use GET, or POST to cancel")
+            return self._job_api.cancel(rest[: -len(names.PATH_ABORT)])
+        return error_answer(405, "use GET, or POST to cancel")
 
     # -- users' requests that a peer can serve --------------------------------
 
@@ -195,21 +202,25 @@
         """A peer that has the state service while this node has not."""
         if self._view.age() < RELAY_AFTER:
             return None
-        good = [node for node, news in self._news.items() if self._peer_heard(node) and news.state_age < RELAY_AFTER]
-        return min((node for node in good if self._link.up(node)), default=None)
+        good = [
+            node
+            for node, peer_status in self._peer_status.items()
+            if self._peer_heard(node) and peer_status.state_age < RELAY_AFTER
+        ]
+        return min((node for node in good if self._link.is_up(node)), default=None)
 
     def _report(self, request: Request) -> Answer | Awaitable[Answer]:
         try:
             report = messages.decode(Report, request.body)
         except Malformed as error:
-            return problem(400, str(error))
+            return error_answer(400, str(error))
         order = (report.session, report.seq)
-        self._visits.add(report.machine, report.address, order, report.token, self._clock.now())
-        if self._post is None:
-            self._prober.ask_visitors()
-        if self._post is not None and self._keeper.authority():
-            return self._post.report(report)
-        if self._post is None and self._commander() is None:
+        self._contacts.add(report.machine, report.address, order, report.token, self._clock.now())
+        if self._runtime is None:
+            self._prober.probe_contacts()
+        if self._runtime is not None and self._term_manager.has_authority():
+            return self._runtime.handle_report(report)
+        if self._runtime is None and self._commander() is None:
             if self._view.term is not None and report.token > self._view.term[0].term:
                 return self._steer()  # somebody commands of whom this node has not heard: it finds them sooner itself
             return self._until_commanded(report)
@@ -221,14 +232,14 @@
         The next node in its round may be the one that has just ended: that costs it four seconds
         of its lease, and then another round.
         """
-        await within(self._led, min(HOLD_UNLED, longest_hold(self._facts.workers)))
-        if self._post is not None and self._keeper.authority():
-            return await settled(self._post.report(report))
+        await wait_for_event(self._led, min(HOLD_UNLED, longest_hold(self._facts.workers)))
+        if self._runtime is not None and self._term_manager.has_authority():
+            return await resolve_answer(self._runtime.handle_report(report))
         return self._steer()
 
     def _lead(self) -> None:
         """To be called whenever somebody may have begun to command."""
-        if self._post is not None or self._commander() is not None:
+        if self._runtime is not None or self._commander() is not None:
             self._led.set()
             self._led = asyncio.Event()  # for those that come once nobody commands any more
 
@@ -239,16 +250,16 @@
             return None
         # One that has asked its machines in vain is replaced within a second or two: a worker sent there
         # would lose four seconds of its lease.
-        news = self._news.get(leader)
-        cut_off = news is not None and news.reaches is False and self._peer_heard(leader)
+        peer_status = self._peer_status.get(leader)
+        cut_off = peer_status is not None and peer_status.reaches_workers is False and self._peer_heard(leader)
         return None if cut_off else leader
 
     def _steer(self) -> Answer:
         """What a worker is told by a node that may not command it: who may, if that is known."""
-        if self._post is not None and self._known_leader() == self._node:
-            return problem(503, "not entitled")
+        if self._runtime is not None and self._known_leader() == self._node:
+            return error_answer(503, "not entitled")
         leader = self._commander()
-        return Answer(421, messages.encode(Steer() if leader is None else Steer(leader)))
+        return Answer(421, messages.encode(Redirect() if leader is None else Redirect(leader)))
 
     def _seems_alive(self, leader: str) -> bool:
         """Heard, or, while connections between controllers are refused, in session."""
@@ -257,21 +268,24 @@
         term = self._view.term
         if term is None or term[0].leader != leader or self._view.nodes.get(leader) != term[0].session:
             return False
-        return shows_itself(self._view.beats.get(leader), self._clock.now()) or self._visits.came(term[0].term) == 0
+        return (
+            is_liveness_fresh(self._view.liveness.get(leader), self._clock.now())
+            or self._contacts.switched_count(term[0].term) == 0
+        )
 
     def _known_leader(self) -> str | None:
         """The newest leader that the view or a peer tells of."""
         term = self._view.term
         number, leader = (term[0].term, term[0].leader) if term is not None else (0, None)
-        for node, news in self._news.items():
-            if news.dispatching and news.term > number:
-                number, leader = news.term, node
+        for node, peer_status in self._peer_status.items():
+            if peer_status.dispatching and peer_status.term > number:
+                number, leader = peer_status.term, node
         return leader
 
     # -- term -----------------------------------------------------------------
 
-    def _make_post(self, dispatcher: Dispatcher) -> CommandPost:
-        return CommandPost(
+    def _make_runtime(self, dispatcher: Dispatcher) -> LeaderRuntime:
+        return LeaderRuntime(
             self._node,
             dispatcher,
             self._client,
@@ -281,32 +295,32 @@
             self._clock,
             self._facts,
             self._operator,
-            self._keeper.authority,
+            self._term_manager.has_authority,
             self._tell_finished,
             self._ask_reclaim,
             self._steer,
-            self._keeper.superseded,
-            self._strain,
+            self._term_manager.handle_newer_token,
+            self._load_monitor,
             self._random,
         )
 
     def _term_changed(self) -> None:
-        if self._post is None:
+        if self._runtime is None:
             self._counts = {}
 
     @property
-    def _post(self) -> CommandPost | None:
+    def _runtime(self) -> LeaderRuntime | None:
         """What this node commands with while it holds the term."""
-        return self._keeper.post
+        return self._term_manager.runtime
 
     def _recent_workers(self) -> int:
-        return self._visits.workers(self._clock.now())
+        return self._contacts.recent_count(self._clock.now())
 
     # -- peers ----------------------------------------------------------------
 
     def _peer_heard(self, node: str) -> bool:
-        news = self._news.get(node)
-        return news is not None and self._clock.now() - news.heard <= LINK_SILENT
+        peer_status = self._peer_status.get(node)
+        return peer_status is not None and self._clock.now() - peer_status.received_at <= LINK_SILENT
 
     def _hears_peers(self) -> bool:
         """Any at all; true as well for a node that has none."""
@@ -314,23 +328,24 @@
 
     def _peer_has_state(self) -> bool:
         return any(
-            self._peer_heard(node) and news.state_age < timedelta(seconds=1.5) for node, news in self._news.items()
+            self._peer_heard(node) and peer_status.state_age < timedelta(seconds=1.5)
+            for node, peer_status in self._peer_status.items()
         )
 
     def _dispatcher_reachable(self) -> bool:
         term = self._view.term
         if term is None:
             return False
-        if self._post is not None:
+        if self._runtime is not None:
             return True
         leader = term[0].leader
-        return leader != self._node and self._link.up(leader) and self._peer_heard(leader)
+        return leader != self._node and self._link.is_up(leader) and self._peer_heard(leader)
 
     def _mend_links(self) -> None:
         """A connection may be lost without an error: then one side or the other hears nothing."""
         for peer in self._link.peers:
-            news = self._news.get(peer)
-            works = self._peer_heard(peer) and news is not None and self._node in news.hears
+            peer_status = self._peer_status.get(peer)
+            works = self._peer_heard(peer) and peer_status is not None and self._node in peer_status.receives_from
             if not works and self._link.age(peer) > REDIAL_AFTER:
                 log.debug("peer link to %s is dialled again", peer)
                 self._link.redial(peer)
@@ -345,28 +360,28 @@
                     peers.Heartbeat(
                         self._node,
                         self._view.term[0].term if self._view.term is not None else 0,
-                        self._keeper.dispatching(),
+                        self._term_manager.is_dispatching(),
                         min(self._view.age().total_seconds(), 1e6),
                         self._recent_workers(),
-                        [node for node in self._news if self._peer_heard(node)],
+                        [node for node in self._peer_status if self._peer_heard(node)],
                         # What this node can't write now is left to those that can.
                         self._client.write_demand if self._view.age() < NO_STATE else 0.0,
                         (self._clock.now() - self._began).total_seconds(),
-                        self._reach.known,
+                        self._reachability.is_reachable,
                     )
                 )
             )
             self._share_writes()
             now = self._clock.now()
-            if self._post is not None and now - counted >= COUNTS:
+            if self._runtime is not None and now - counted >= COUNTS:
                 counted = now
                 self._link.broadcast(
                     peers.pack(
                         peers.Counts(
                             self._node,
-                            self._post.dispatcher.term,
-                            self._post.dispatcher.running_counts(),
-                            self._post.sample(),
+                            self._runtime.dispatcher.term,
+                            self._runtime.dispatcher.running_counts(),
+                            self._runtime.sample_addresses(),
                         )
                     )
                 )
@@ -379,9 +394,9 @@
         everything again with what was left beside four shares that nobody could use.
         """
         even = self._facts.state.write_rps / max(self._facts.size, 1)
-        heard = [news for node, news in self._news.items() if self._peer_heard(node)]
+        heard = [peer_status for node, peer_status in self._peer_status.items() if self._peer_heard(node)]
         unheard = max(self._facts.size - 1 - len(heard), 0)
-        served = [news.writes for news in heard if news.state_age < NO_STATE]
+        served = [peer_status.write_demand for peer_status in heard if peer_status.state_age < NO_STATE]
         self._client.share_writes(served + [even] * unheard)
         self._client.share_requests(1 + len(served) + unheard)
 
@@ -393,7 +408,7 @@
             return
         match message:
             case peers.Heartbeat():
-                self._news[message.node] = PeerNews(
+                self._peer_status[message.node] = PeerStatus(
                     self._clock.now(),
                     message.term,
                     message.dispatching,
@@ -413,23 +428,23 @@
                 # Committed data with its version, so it may go straight into the view.
                 self._view.apply(message.key, bytes(message.record), message.version)
             case peers.Finished():
-                self._claims.finished(message.jobs)
+                self._claims.add_finished(message.jobs)
             case peers.Relay():
-                self._relays.serve(message)
+                self._request_relay.serve(message)
             case peers.Relayed():
-                self._relays.answered(message)
+                self._request_relay.handle_answer(message)
             case peers.Reclaim():
                 self._claims.reclaim(message.job, message.attempt)
 
     def _machines_to_ask(self) -> list[str]:
-        return self._post.sample() if self._post is not None else self._sample
+        return self._runtime.sample_addresses() if self._runtime is not None else self._sample
 
     def _running(self, job: str) -> int:
-        return self._post.dispatcher.running_count(job) if self._post is not None else self._counts.get(job, 0)
+        return self._runtime.dispatcher.running_count(job) if self._runtime is not None else self._counts.get(job, 0)
 
     def _hand_over(self, job: str, version: int, record: JobRecord) -> None:
         term = self._view.term
-        if self._post is not None or term is None or term[0].leader == self._node:
+        if self._runtime is not None or term is None or term[0].leader == self._node:
             return  # one that has just resigned is still the leader on record; the next one reads the record
         self._link.send(term[0].leader, self._handover(job, version, record))
 
@@ -446,26 +461,26 @@
 
     def _tell_finished(self, node: str, jobs: dict[str, list[int]]) -> None:
         if node == self._node:
-            self._claims.finished(jobs)
-        elif self._post is not None and node in self._news:
-            self._link.send(node, peers.pack(peers.Finished(self._node, self._post.dispatcher.term, jobs)))
+            self._claims.add_finished(jobs)
+        elif self._runtime is not None and node in self._peer_status:
+            self._link.send(node, peers.pack(peers.Finished(self._node, self._runtime.dispatcher.term, jobs)))
 
     def _ask_reclaim(self, node: str, job: str, attempt: int) -> None:
         if node == self._node:
             self._claims.reclaim(job, attempt)
-        elif self._post is not None and node in self._news:
-            self._link.send(node, peers.pack(peers.Reclaim(self._node, self._post.dispatcher.term, job, attempt)))
+        elif self._runtime is not None and node in self._peer_status:
+            self._link.send(node, peers.pack(peers.Reclaim(self._node, self._runtime.dispatcher.term, job, attempt)))
 
     # -- catalog --------------------------------------------------------------
 
     async def _keep_catalog(self) -> None:
         while True:
-            if not self._types or self._post is not None:
+            if not self._types or self._runtime is not None:
                 try:
                     self._types = await self._cloud.catalog()
-                    if self._post is not None:
-                        self._post.set_types(self._types)
-                except (CloudTrouble, NoCapacity, Malformed) as error:
+                    if self._runtime is not None:
+                        self._runtime.set_types(self._types)
+                except (CloudError, NoCapacity, Malformed) as error:
                     log.info("catalog: %s", error)
                     await asyncio.sleep(1)
                     continue
--- a/gingerspar/coordination/cluster/capacity_index.py
+++ b/gingerspar/coordination/cluster/capacity_index.py
@@ -16,38 +16,38 @@
 from gingerspar.coordination.cluster.machine import Machine, fits
 from gingerspar.protocol.messages import JobSpec
 
-MOST_NEEDS = 24  # kinds that are kept, the least recently asked for goes first
+MAX_INDEXES = 24  # kinds that are kept, the least recently asked for goes first
 
-NeedKey = tuple[object, ...]
+CapacityKey = tuple[object, ...]
 Rank = tuple[float, str]  # what is lost for each place, and the machine
 
 
-def need_key(spec: JobSpec) -> NeedKey:
+def capacity_key(spec: JobSpec) -> CapacityKey:
     """Jobs that are alike in this find the same places and may stop the same work."""
     return (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot, spec.priority.rank)
 
 
 @dataclass(slots=True)
-class Places:
+class Capacity:
     """Numbers of tasks: of one machine, or summed up over a zone."""
 
     free: int = 0
-    stopping: int = 0  # more of them, once all less urgent work there has been stopped
+    by_stopping: int = 0  # more of them, once all less urgent work there has been stopped
 
     @property
-    def all(self) -> int:
-        return self.free + self.stopping
+    def total(self) -> int:
+        return self.free + self.by_stopping
 
 
 @dataclass(slots=True)
-class Need:
+class CapacityIndex:
     """Places for one kind of task on each machine that it may use."""
 
     spec: JobSpec
-    places: dict[str, Places] = field(default_factory=dict)  # by machine, where there are any
+    places: dict[str, Capacity] = field(default_factory=dict)  # by machine, where there are any
     free: dict[str, Machine] = field(default_factory=dict)  # machines with free places
-    clearable: dict[str, Machine] = field(default_factory=dict)  # machines where stopping gives places
-    zones: dict[str, Places] = field(default_factory=dict)
+    preemptible: dict[str, Machine] = field(default_factory=dict)  # machines where stopping gives places
+    zones: dict[str, Capacity] = field(default_factory=dict)
     stale: dict[str, Machine] = field(default_factory=dict)  # changed since the sums were worked out
     ranked_at: timedelta | None = None
     ranked: "SortedList[Rank]" = field(default_factory=SortedList)
@@ -60,41 +60,41 @@
             return 0
         changed, self.stale = self.stale, {}
         for name, machine in changed.items():
-            self._set(name, machine, _places(machine, self.spec) if usable(machine) else Places())
+            self._set(name, machine, _places(machine, self.spec) if usable(machine) else Capacity())
         return len(changed)
 
-    def _set(self, name: str, machine: Machine, now: Places) -> None:
+    def _set(self, name: str, machine: Machine, now: Capacity) -> None:
         before = self.places.pop(name, None)
-        total = self.zones.setdefault(machine.zone, Places())
+        total = self.zones.setdefault(machine.zone, Capacity())
         if before is not None:
             total.free -= before.free
-            total.stopping -= before.stopping
+            total.by_stopping -= before.by_stopping
         self.free.pop(name, None)
-        self.clearable.pop(name, None)
+        self.preemptible.pop(name, None)
         rank = self.ranks.pop(name, None)
         if rank is not None:
             self.ranked.remove(rank)
-        if now.all:
+        if now.total:
             self.places[name] = now
             total.free += now.free
-            total.stopping += now.stopping
+            total.by_stopping += now.by_stopping
             if now.free:
                 self.free[name] = machine
-            if now.stopping:
-                self.clearable[name] = machine
+            if now.by_stopping:
+                self.preemptible[name] = machine
                 self.unranked.add(name)
 
-    def sums(self) -> Iterable[tuple[str, Places]]:
+    def totals(self) -> Iterable[tuple[str, Capacity]]:
         """Where the tasks of one job may all go: each zone, or all zones together."""
         if self.spec.one_zone:
             return self.zones.items()
-        total = Places()
+        total = Capacity()
         for places in self.zones.values():
             total.free += places.free
-            total.stopping += places.stopping
+            total.by_stopping += places.by_stopping
         return (("", total),)
 
-    def by_loss(self, now: timedelta) -> Iterable[Machine]:
+    def by_stop_cost(self, now: timedelta) -> Iterable[Machine]:
         """Machines where stopping gives places, those that lose least for each place first.
 
         What is lost grows with time, so all are ranked anew for another moment; within a
@@ -102,49 +102,49 @@
         """
         if self.ranked_at != now:
             self.ranked_at = now
-            self.ranks = {name: self._rank(name, machine, now) for name, machine in self.clearable.items()}
+            self.ranks = {name: self._rank(name, machine, now) for name, machine in self.preemptible.items()}
             self.ranked = SortedList(self.ranks.values())
         else:
-            for name in self.unranked & self.clearable.keys():
-                self.ranks[name] = self._rank(name, self.clearable[name], now)
+            for name in self.unranked & self.preemptible.keys():
+                self.ranks[name] = self._rank(name, self.preemptible[name], now)
                 self.ranked.add(self.ranks[name])
         self.unranked.clear()
-        return (self.clearable[name] for _, name in self.ranked)
+        return (self.preemptible[name] for _, name in self.ranked)
 
     def _rank(self, name: str, machine: Machine, now: timedelta) -> Rank:
-        weights = machine.look_ahead().weights[self.spec.priority.rank + 1 :]
-        return (sum(weight.lost(now) for weight in weights) / self.places[name].stopping, name)
+        weights = machine.forecast().weights[self.spec.priority.rank + 1 :]
+        return (sum(weight.lost(now) for weight in weights) / self.places[name].by_stopping, name)
 
 
-def _places(machine: Machine, spec: JobSpec) -> Places:
+def _places(machine: Machine, spec: JobSpec) -> Capacity:
     cpus, gpus, memory = machine.free()
     free = fits(spec, cpus, gpus, memory)
     if not machine.live:
-        return Places(free)
+        return Capacity(free)
     for share in machine.shares[spec.priority.rank + 1 :]:
         cpus, gpus, memory = cpus + share.cpus, gpus + share.gpus, memory + share.memory_gb
-    return Places(free, max(fits(spec, cpus, gpus, memory) - free, 0))
+    return Capacity(free, max(fits(spec, cpus, gpus, memory) - free, 0))
 
 
-class Needs:
+class CapacityIndexes:
     """The kinds of task that have been asked for lately."""
 
     def __init__(self) -> None:
-        self._needs: OrderedDict[NeedKey, Need] = OrderedDict()
+        self._indexes: OrderedDict[CapacityKey, CapacityIndex] = OrderedDict()
 
-    def changed(self, machine: Machine) -> None:
+    def machine_changed(self, machine: Machine) -> None:
         """To be called for each change of a machine's state, room or tasks."""
-        for need in self._needs.values():
-            need.stale[machine.name] = machine
+        for index in self._indexes.values():
+            index.stale[machine.name] = machine
 
-    def of(self, spec: JobSpec, machines: Callable[[], Iterable[Machine]]) -> Need:
+    def of(self, spec: JobSpec, machines: Callable[[], Iterable[Machine]]) -> CapacityIndex:
         """The need of the job's tasks, to be refreshed by the caller; ``machines``: all there are."""
-        key = need_key(spec)
-        need = self._needs.get(key)
-        if need is None:
-            need = self._needs[key] = Need(spec, stale={machine.name: machine for machine in machines()})
-            if len(self._needs) > MOST_NEEDS:
-                self._needs.popitem(last=False)
+        key = capacity_key(spec)
+        index = self._indexes.get(key)
+        if index is None:
+            index = self._indexes[key] = CapacityIndex(spec, stale={machine.name: machine for machine in machines()})
+            if len(self._indexes) > MAX_INDEXES:
+                self._indexes.popitem(last=False)
         else:
-            self._needs.move_to_end(key)
-        return need
+            self._indexes.move_to_end(key)
+        return index
--- a/gingerspar/coordination/cluster/cluster_state.py
+++ b/gingerspar/coordination/cluster/cluster_state.py
@@ -10,8 +10,8 @@
 from datetime import timedelta
 
 from gingerspar.coordination.cluster.estimates import Estimates
-from gingerspar.coordination.cluster.expected_releases import Ends
-from gingerspar.coordination.cluster.job_order import Turns
+from gingerspar.coordination.cluster.expected_releases import ExpectedReleases
+from gingerspar.coordination.cluster.job_order import JobOrder
 from gingerspar.coordination.cluster.job_runs import Backlog, GangState, JobRun
 from gingerspar.coordination.cluster.machine import (
     NOTHING,
@@ -20,25 +20,30 @@
     Placement,
     TaskState,
     Usage,
-    slot_cost,
-    slots,
+    cost_per_task,
+    task_capacity,
 )
 from gingerspar.coordination.cluster.pool import Offer, Pool, allows
-from gingerspar.coordination.cluster.service_level import FIRST, Services
-from gingerspar.coordination.cluster.start_deadline import BEGIN_AT_LAST, BEGIN_BY, KNOWN_AFTER, Largest
+from gingerspar.coordination.cluster.service_level import TOP_RANK, ServiceLevels
+from gingerspar.coordination.cluster.start_deadline import (
+    RUNNING_TASKS_KNOWN_AFTER,
+    START_PRIORITY_AFTER,
+    START_TARGET,
+    LargestJobs,
+)
 from gingerspar.protocol.messages import JobSpec, MachineType, Priority
 from gingerspar.protocol.settings import Objective, TeamFacts
 from gingerspar.storage.records import Order
 
 log = logging.getLogger(__name__)
 
-NO_GRACE = timedelta(0)
+NO_GRACE_PERIOD = timedelta(0)
 URGENT_WAIT = timedelta(seconds=5)
 ROUTINE_WAIT = timedelta(seconds=20)  # of work that nobody asks anything of
 OVERRUN = 1.3  # estimates are often wrong by half
 SPENT_ON_WAITING = 0.5  # of the time to spare: a job is done with its slowest task
 START_UP = timedelta(seconds=5)  # claim, reports and what else comes before a task runs
-DEAR = 1.5
+EXPENSIVE_PRICE_RATIO = 1.5
 LEAST_START = timedelta(seconds=2)  # from a place to a running task, at the least
 MUCH_LATER = 1e7  # seconds, more than any deadline is ahead
 UNDUE = 1e12  # seconds, later than all deadlines
@@ -49,23 +54,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Choice:
+class MachineOption:
     """A sort of machine that a job may use."""
 
     offer: Offer
     kind: MachineType
-    full: int  # tasks of the job that an empty one takes, at least one
+    tasks_per_machine: int  # tasks of the job that an empty one takes, at least one
     cost: float  # of one place an hour, when it is full of them
-    dear: bool  # its places cost far more than those of another ordinary type
+    expensive: bool  # its places cost far more than those of another ordinary type
 
 
-class Book:
+class ClusterState:
     """One term's machines, runs and use."""
 
     def __init__(self, term: int, teams: Iterable[TeamFacts], objectives: Iterable[Objective] = ()) -> None:
         self.term = term
         objectives = list(objectives)
-        self._turns = Turns(objectives)
+        self._job_order = JobOrder(objectives)
         self._finish_within: dict[str, tuple[timedelta, timedelta]] = {}  # by class: first and last aim
         self._late_at: dict[str, float] = {}  # by class: times its deadline
         self._start_within: dict[str, list[timedelta]] = {}  # by class
@@ -88,17 +93,17 @@
         self.pool = Pool()
         self.runs: dict[str, JobRun] = {}
         self.backlog = Backlog()
-        self.services = Services()
-        self.largest = Largest()
-        self._first_gang: JobRun | None = None
+        self.service_levels = ServiceLevels()
+        self.largest_jobs = LargestJobs()
+        self._first_overdue_gang: JobRun | None = None
         self.usage: dict[str, Usage] = {team: Usage() for team in self.teams}
-        self.unsaved: dict[str, JobRun] = {}  # runs with finishes that the record doesn't show yet
-        self.ends = Ends()
-        self.bookers: dict[str, set[str]] = {}  # by machine: jobs that keep room there
-        self.accelerated: dict[str, JobSpec] = {}  # by class: what uses accelerators here
-        self.wake: Callable[[Machine], None] = lambda machine: None
+        self.unrecorded: dict[str, JobRun] = {}  # runs with finishes that the record doesn't show yet
+        self.expected_releases = ExpectedReleases()
+        self.jobs_with_reservations: dict[str, set[str]] = {}  # by machine: jobs that keep room there
+        self.accelerator_specs: dict[str, JobSpec] = {}  # by class: what uses accelerators here
+        self.notify_machine: Callable[[Machine], None] = lambda machine: None
         self._cheapest: dict[tuple[object, ...], float] = {}  # ordinary place, by kind of task
-        self._choices: dict[tuple[object, ...], list[Choice]] = {}
+        self._machine_options: dict[tuple[object, ...], list[MachineOption]] = {}
         self._slowest_fetch = 1.0  # of all types, GB a second
 
     # -- machines -------------------------------------------------------------
@@ -122,7 +127,7 @@
     def set_types(self, types: Iterable[MachineType]) -> None:
         self.types = {kind.name: kind for kind in types}
         self._cheapest = {}
-        self._choices = {}
+        self._machine_options = {}
         self._slowest_fetch = max(min((kind.fetch_gb_per_s for kind in self.types.values()), default=1.0), 1e-3)
         for machine in self.pool:
             machine.set_kind(self.types.get(machine.type))
@@ -135,126 +140,128 @@
 
     def clear_machine(self, machine: Machine, now: timedelta) -> None:
         for placement in list(machine.live.values()):
-            self.gone(placement, now)
+            self.task_gone(placement, now)
 
     # -- tasks ----------------------------------------------------------------
 
-    def move(self, placement: Placement, state: TaskState, now: timedelta) -> None:
+    def move_task(self, placement: Placement, state: TaskState, now: timedelta) -> None:
         """A task's state changes; the job's count of running tasks follows."""
         before = placement.state in _COUNTED
         ran = placement.running_since is not None
         placement.move(state, now)
         if not ran and placement.running_since is not None:
-            self.ends.started(placement)
+            self.expected_releases.task_started(placement)
         run = self.runs.get(placement.job)
         if run is not None:
             run.running += (placement.state in _COUNTED) - before
-            run.begun = run.begun or placement.running_since is not None
+            run.has_started = run.has_started or placement.running_since is not None
 
-    def plan(self, run: JobRun, number: int, machine: Machine, now: timedelta, *, shielded: bool = False) -> None:
-        placement = Placement(run.spec, number, run.record.attempt, machine, TaskState.PLANNED, now, shielded=shielded)
-        run.used_attempt = max(run.used_attempt, run.record.attempt)
-        self.enter(run, placement)
-        self.wake(machine)
+    def plan_task(self, run: JobRun, number: int, machine: Machine, now: timedelta, *, protected: bool = False) -> None:
+        placement = Placement(
+            run.spec, number, run.record.attempt, machine, TaskState.PLANNED, now, protected=protected
+        )
+        run.max_used_attempt = max(run.max_used_attempt, run.record.attempt)
+        self.add_placement(run, placement)
+        self.notify_machine(machine)
 
-    def enter(self, run: JobRun, placement: Placement) -> None:
+    def add_placement(self, run: JobRun, placement: Placement) -> None:
         """A task takes its place; whoever adds the last one refiles the run."""
-        placement.machine.take(placement)
+        placement.machine.add_placement(placement)
         run.places.setdefault(placement.number, []).append(placement)
         run.open.discard(placement.number)
         run.running += placement.state in _COUNTED
-        run.begun = run.begun or placement.running_since is not None
+        run.has_started = run.has_started or placement.running_since is not None
         if placement.running_since is not None:
-            self.ends.started(placement)
+            self.expected_releases.task_started(placement)
         self.usage.setdefault(placement.spec.team, Usage()).add(placement.spec)
-        self.services.entered(placement)
+        self.service_levels.task_placed(placement)
 
     def _leave(self, placement: Placement) -> JobRun:
         """Takes an ended placement off the books."""
         if placement.running_since is not None:
-            self.ends.left(placement)
+            self.expected_releases.task_left(placement)
         run = self.runs[placement.job]
         places = run.places[placement.number]
         places.remove(placement)
         if not places:
             del run.places[placement.number]
-            if not run.over and placement.number not in run.finished and placement.number < run.spec.tasks:
+            if not run.ended and placement.number not in run.finished and placement.number < run.spec.tasks:
                 run.open.add(placement.number)
         self.usage[placement.spec.team].add(placement.spec, -1)
-        self.services.ended(placement)
-        if run.over and not run.places:
+        self.service_levels.task_ended(placement)
+        if run.ended and not run.places:
             self.runs.pop(placement.job, None)
         return run
 
-    def exited(self, placement: Placement, now: timedelta) -> JobRun:
-        self.move(placement, TaskState.EXITED, now)
+    def task_exited(self, placement: Placement, now: timedelta) -> JobRun:
+        self.move_task(placement, TaskState.EXITED, now)
         return self._leave(placement)
 
-    def gone(self, placement: Placement, now: timedelta) -> None:
+    def task_gone(self, placement: Placement, now: timedelta) -> None:
         """The task is on its machine no more, without having ended there."""
         if not placement.live:
             return  # its gang was taken apart while its machine's tasks were gone through
         log.debug("%s attempt %d on %s is gone", placement.name, placement.attempt, placement.machine.name)
-        self.move(placement, TaskState.GONE, now)
-        self.gang_lost_one(self._leave(placement), now)
+        self.move_task(placement, TaskState.GONE, now)
+        self.gang_task_lost(self._leave(placement), now)
 
-    def gang_lost_one(self, run: JobRun, now: timedelta) -> None:
+    def gang_task_lost(self, run: JobRun, now: timedelta) -> None:
         """After a task of a run has gone: a gang that lost one is stopped whole."""
-        if run.gangs and not run.over:
+        if run.is_gang and not run.ended:
             if run.places:
-                run.set_gang(GangState.STOPPING)
+                run.set_gang_state(GangState.STOPPING)
                 for placement in run.live:
-                    if placement.stop is None:
-                        self.stop(placement, NO_GRACE, now)
+                    if placement.stop_grace is None:
+                        self.stop_task(placement, NO_GRACE_PERIOD, now)
             if not run.places:
-                run.set_gang(GangState.IDLE)
-        self.backlog.refile(run, now)
+                run.set_gang_state(GangState.IDLE)
+        self.backlog.update(run, now)
 
-    def stop(self, placement: Placement, grace: timedelta, now: timedelta) -> None:
+    def stop_task(self, placement: Placement, grace: timedelta, now: timedelta) -> None:
         """Wants a task ended; a planned one never reached its machine."""
         if placement.state is TaskState.PLANNED:
-            self.gone(placement, now)
+            self.task_gone(placement, now)
             return
-        if placement.stop is None or grace < placement.stop:
-            placement.stop = grace
+        if placement.stop_grace is None or grace < placement.stop_grace:
+            placement.stop_grace = grace
             placement.stop_sent = False
-            placement.machine.outlook = None
-            self.wake(placement.machine)
+            placement.machine.cached_forecast = None
+            self.notify_machine(placement.machine)
 
     def stop_run(self, run: JobRun, grace: timedelta, now: timedelta) -> None:
         """Stops all tasks of a job in an orderly way; a gang's must be told together."""
-        if run.gangs:
-            run.set_gang(GangState.STOPPING)
+        if run.is_gang:
+            run.set_gang_state(GangState.STOPPING)
         for placement in run.live:
-            self.stop(placement, grace, now)
+            self.stop_task(placement, grace, now)
 
-    def end(self, run: JobRun, now: timedelta) -> None:
+    def end_run(self, run: JobRun, now: timedelta) -> None:
         """The record says done or cancelled."""
-        run.over = True
+        run.ended = True
         run.open.clear()
-        run.unsaved.clear()
-        self.unsaved.pop(run.spec.job, None)
-        self.unbook(run)
-        self.backlog.refile(run, now)
+        run.unrecorded.clear()
+        self.unrecorded.pop(run.spec.job, None)
+        self.release_reservation(run)
+        self.backlog.update(run, now)
         for placement in run.live:
-            self.stop(placement, NO_GRACE, now)
+            self.stop_task(placement, NO_GRACE_PERIOD, now)
         if not run.places:
             self.runs.pop(run.spec.job, None)
 
-    def done(self, run: JobRun, number: int) -> bool:
+    def task_done(self, run: JobRun, number: int) -> bool:
         """A task has completed; true if that is news."""
-        run.begun = True  # an older leader may have started it
+        run.has_started = True  # an older leader may have started it
         # The tasks of a gang complete together: if one is done, all are.
-        numbers = range(run.spec.tasks) if run.gangs else (number,)
+        numbers = range(run.spec.tasks) if run.is_gang else (number,)
         news = False
         for each in numbers:
-            if not run.over and run.finished.add(each):
+            if not run.ended and run.finished.add(each):
                 news = True
-                run.unsaved.add(each)
+                run.unrecorded.add(each)
                 run.open.discard(each)
         if news:
-            run.told = None
-            self.unsaved[run.spec.job] = run
+            run.notified_at = None
+            self.unrecorded[run.spec.job] = run
         return news
 
     # -- time to spare --------------------------------------------------------
@@ -288,49 +295,57 @@
         left = run.submitted + within - now - START_UP - self.estimates.run_time(run.spec) * OVERRUN
         return max(left * SPENT_ON_WAITING, NOTHING)
 
-    def look_at_services(self, now: timedelta) -> None:
-        self.services.look(self.runs.values(), self.pool, self.backlog, now)
+    def update_service_levels(self, now: timedelta) -> None:
+        self.service_levels.update(self.runs.values(), self.pool, self.backlog, now)
 
-    def order(self, run: JobRun, now: timedelta) -> Order:
+    def order_key(self, run: JobRun, now: timedelta) -> Order:
         """As ``_order``, but first of all where it is late to begin, or its class lags and its share is not used up."""
-        if self.late_to_begin(run, now):
-            return (FIRST, 0.0, run.record.submitted, run.spec.job)
+        if self.is_start_overdue(run, now):
+            return (TOP_RANK, 0.0, run.record.submitted, run.spec.job)
         order = self._order(run, now)
-        return (FIRST, *order[1:]) if self.services.first(run) and self.services.left(run) else order
+        return (
+            (TOP_RANK, *order[1:])
+            if self.service_levels.has_priority(run) and self.service_levels.remaining_tasks(run)
+            else order
+        )
 
-    def late_to_begin(self, run: JobRun, now: timedelta) -> bool:
+    def is_start_overdue(self, run: JobRun, now: timedelta) -> bool:
         """Whether the job has to begin now, with one task, or if it is a gang with all."""
-        if run.begun or run.places or run.over or now - run.submitted < BEGIN_BY or run.failures:
+        if run.has_started or run.places or run.ended or now - run.submitted < START_PRIORITY_AFTER or run.failures:
             return False
-        return self.largest.among(run.spec) if run.gangs else self.services.left(run, to_begin=True) > 0
+        return (
+            self.largest_jobs.contains(run.spec)
+            if run.is_gang
+            else self.service_levels.remaining_tasks(run, to_begin=True) > 0
+        )
 
-    def tell_if_unbegun(self, run: JobRun, now: timedelta) -> None:
+    def log_if_not_started(self, run: JobRun, now: timedelta) -> None:
         """Once for each job that the four minutes have passed for."""
-        if run.begun or run.told_unbegun or run.failures or now - run.submitted < BEGIN_AT_LAST:
+        if run.has_started or run.logged_not_started or run.failures or now - run.submitted < START_TARGET:
             return
-        if run.waiting_since is None or now - run.waiting_since < KNOWN_AFTER:
+        if run.waiting_since is None or now - run.waiting_since < RUNNING_TASKS_KNOWN_AFTER:
             return  # in a new term it may run on a machine that has not reported yet
-        run.told_unbegun = True
-        size = "among the largest" if self.largest.among(run.spec) else "not among the largest"
+        run.logged_not_started = True
+        size = "among the largest" if self.largest_jobs.contains(run.spec) else "not among the largest"
         log.error(
             "%s of %s has not begun after %d s: %d tasks, %s",
-            run.spec.job, run.spec.jobclass, BEGIN_AT_LAST.total_seconds(), run.spec.tasks, size,
+            run.spec.job, run.spec.jobclass, START_TARGET.total_seconds(), run.spec.tasks, size,
         )  # fmt: skip
 
-    def first_gang(self, now: timedelta) -> JobRun | None:
+    def first_overdue_gang(self, now: timedelta) -> JobRun | None:
         """The gang that has been late to begin for longest: one at a time keeps its room until it starts."""
-        gang = self._first_gang
-        return gang if gang is not None and gang.waits and self.late_to_begin(gang, now) else None
+        gang = self._first_overdue_gang
+        return gang if gang is not None and gang.is_waiting and self.is_start_overdue(gang, now) else None
 
-    def look_for_first_gang(self, now: timedelta) -> None:
+    def update_first_overdue_gang(self, now: timedelta) -> None:
         """To be called now and then: going through all that is late for each question cost a twentieth of a pass."""
-        self._first_gang = None
+        self._first_overdue_gang = None
         run: JobRun
         for order, run in self.backlog.waiting.items():
-            if order[0] != FIRST:
+            if order[0] != TOP_RANK:
                 return
-            if run.gangs and self.late_to_begin(run, now):
-                self._first_gang = run
+            if run.is_gang and self.is_start_overdue(run, now):
+                self._first_overdue_gang = run
                 return
 
     def _order(self, run: JobRun, now: timedelta) -> Order:
@@ -353,7 +368,7 @@
         waited = now - run.submitted + LEAST_START
         within = min((within for within in starts if within > waited), default=None)
         if within is None:
-            return self._turns.order(run.record, run.spec.tasks - len(run.finished))
+            return self._job_order.key(run.record, run.spec.tasks - len(run.finished))
         return (rank, UNDUE + submitted + within.total_seconds(), submitted, job)
 
     def lateness(self, run: JobRun, now: timedelta) -> int:
@@ -373,7 +388,7 @@
             return within, within * self._late_at.get(spec.jobclass, 1.0)
         return self._finish_within.get(spec.jobclass, (None, None))
 
-    def dear(self, kind: MachineType, spot: bool, spec: JobSpec) -> bool:
+    def is_expensive(self, kind: MachineType, spot: bool, spec: JobSpec) -> bool:
         """An ordinary machine whose places cost far more than those of another ordinary type."""
         if spot:
             return False
@@ -382,57 +397,57 @@
             if len(self._cheapest) >= MOST_KINDS:
                 self._cheapest.clear()
             costs = [
-                slot_cost(other, False, spec)
+                cost_per_task(other, False, spec)
                 for other in self.types.values()
                 if spec.types is None or other.name in spec.types
             ]
             self._cheapest[key] = min(costs, default=0.0)
-        return slot_cost(kind, False, spec) > DEAR * self._cheapest[key]
+        return cost_per_task(kind, False, spec) > EXPENSIVE_PRICE_RATIO * self._cheapest[key]
 
-    def choices(self, spec: JobSpec) -> list[Choice]:
+    def machine_options(self, spec: JobSpec) -> list[MachineOption]:
         """The sorts of machine that take tasks of the job, by the catalog."""
         key = (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
-        found = self._choices.get(key)
+        found = self._machine_options.get(key)
         if found is None:
-            if len(self._choices) >= MOST_KINDS:
-                self._choices.clear()
-            found = self._choices[key] = []
+            if len(self._machine_options) >= MOST_KINDS:
+                self._machine_options.clear()
+            found = self._machine_options[key] = []
             for kind in self.types.values():
-                full = slots(kind, spec)
+                full = task_capacity(kind, spec)
                 for zone in kind.zones if full else ():
                     for spot in (True, False) if spec.spot and kind.spot_price is not None else (False,):
                         if allows(spec, kind.name, zone, spot):
-                            cost, dear = slot_cost(kind, spot, spec), self.dear(kind, spot, spec)
-                            found.append(Choice((kind.name, zone, spot), kind, full, cost, dear))
+                            cost, dear = cost_per_task(kind, spot, spec), self.is_expensive(kind, spot, spec)
+                            found.append(MachineOption((kind.name, zone, spot), kind, full, cost, dear))
         return found
 
     # -- room -----------------------------------------------------------------
 
-    def book(self, run: JobRun, room: dict[Machine, int], now: timedelta) -> None:
+    def reserve(self, run: JobRun, room: dict[Machine, int], now: timedelta) -> None:
         """Keeps room for a gang until it starts."""
         for machine, count in room.items():
-            machine.book(run.spec, count)
-            self.bookers.setdefault(machine.name, set()).add(run.spec.job)
-        run.booked = room
-        if run.booked_since is None:
-            run.booked_since = now
-
-    def unbook(self, run: JobRun) -> None:
-        booked, run.booked = run.booked, {}
+            machine.reserve(run.spec, count)
+            self.jobs_with_reservations.setdefault(machine.name, set()).add(run.spec.job)
+        run.reserved = room
+        if run.reserved_since is None:
+            run.reserved_since = now
+
+    def release_reservation(self, run: JobRun) -> None:
+        booked, run.reserved = run.reserved, {}
         for machine, count in booked.items():
-            machine.book(run.spec, -count)
-            jobs = self.bookers[machine.name]
+            machine.reserve(run.spec, -count)
+            jobs = self.jobs_with_reservations[machine.name]
             jobs.discard(run.spec.job)
             if not jobs:
-                del self.bookers[machine.name]
+                del self.jobs_with_reservations[machine.name]
 
-    def blocked(self, run: JobRun) -> bool:
+    def blocked_by_unsettled(self, run: JobRun) -> bool:
         """True while one of its open tasks may run on a machine that has not reported yet."""
         if run.record.first_term >= self.term:
             return False
         return any(allows(run.spec, *offer) for offer in self.pool.unsettled.offers)
 
-    def team_room(self, spec: JobSpec, promised: Usage = NOTHING_USED) -> int:
+    def team_headroom(self, spec: JobSpec, promised: Usage = NOTHING_USED) -> int:
         """Tasks that the team's limit still takes; unsettled machines count as full of them.
 
         ``promised``: what others of the team are about to take.
@@ -451,7 +466,7 @@
             room = min(room, int((team.gpus_max - gpus) / spec.gpus + 1e-9))
         return max(room, 0)
 
-    def team_lacks(self, spec: JobSpec) -> tuple[float, float]:
+    def team_shortfall(self, spec: JobSpec) -> tuple[float, float]:
         """Processors and accelerators that the limit leaves too little for all tasks of a job at once."""
         team = self.teams[spec.team]
         used = self.usage[spec.team]
--- a/gingerspar/coordination/cluster/delivery.py
+++ b/gingerspar/coordination/cluster/delivery.py
@@ -14,46 +14,48 @@
 
 GIVEN_UP = timedelta(seconds=4.5)  # a worker waits 4 s for an answer, and 1 s more before it goes on
 UNHEARD = 3  # answers in a row that it shows not to have heard: then it is given back
-TOLD_FOR = timedelta(seconds=10)  # so long a worker is answered that doesn't show the token it was told of
+TOKEN_RETRY_LIMIT = timedelta(seconds=10)  # so long a worker is answered that doesn't show the token it was told of
 
 
-class HearingState(Enum):
-    HEARING = "hearing"
-    DOUBTED = "doubted"  # it did not hear the last answer: no new work until it hears one
-    DEAF = "deaf"
+class DeliveryState(Enum):
+    CONFIRMED = "confirmed"
+    SUSPECT = "suspect"  # it did not hear the last answer: no new work until it hears one
+    FAILED = "failed"
 
 
 @dataclass(slots=True)
-class Hearing:
+class AnswerDelivery:
     """One machine's, judged at each report by what has become of the answer to the one before."""
 
     machine: str
-    state: HearingState = HearingState.HEARING
-    unheard: int = 0  # answers in a row
+    state: DeliveryState = DeliveryState.CONFIRMED
+    lost_answers: int = 0  # answers in a row
 
     @property
-    def hears(self) -> bool:
-        return self.state is HearingState.HEARING
+    def is_confirmed(self) -> bool:
+        return self.state is DeliveryState.CONFIRMED
 
-    def heard(self) -> None:
+    def answer_received(self) -> None:
         """It shows that an answer has reached it."""
-        self.unheard = 0
-        self._move(HearingState.HEARING)
+        self.lost_answers = 0
+        self._move(DeliveryState.CONFIRMED)
 
-    def missed(self) -> None:
+    def answer_lost(self) -> None:
         """It shows that the last answer has not."""
-        self.unheard += 1
-        self._move(HearingState.DEAF if self.unheard >= UNHEARD else HearingState.DOUBTED)
+        self.lost_answers += 1
+        self._move(DeliveryState.FAILED if self.lost_answers >= UNHEARD else DeliveryState.SUSPECT)
 
-    def _move(self, state: HearingState) -> None:
+    def _move(self, state: DeliveryState) -> None:
         """The only place where the state changes."""
         if state is self.state:
             return
-        log.info("machine %s: %s -> %s, %d answers unheard", self.machine, self.state.value, state.value, self.unheard)
+        log.info(
+            "machine %s: %s -> %s, %d answers unheard", self.machine, self.state.value, state.value, self.lost_answers
+        )
         self.state = state
 
 
-def gave_up(span: timedelta, ticks: int, nodes: int, report: timedelta) -> bool:
+def tried_other_controllers(span: timedelta, ticks: int, nodes: int, report: timedelta) -> bool:
     """Whether a worker that reports again after ``span`` has been to the other controllers meanwhile.
 
     ``ticks``: by how much its number has grown; one that goes round sends a report to each of
--- a/gingerspar/coordination/cluster/expected_releases.py
+++ b/gingerspar/coordination/cluster/expected_releases.py
@@ -15,7 +15,7 @@
 from gingerspar.protocol.messages import JobSpec
 
 
-class Spans:
+class RunTimes:
     """How long the tasks of each job probably run, worked out once for each."""
 
     def __init__(self, run_time: Callable[[JobSpec], timedelta]) -> None:
@@ -29,13 +29,13 @@
         return span
 
 
-class Ends:
+class ExpectedReleases:
     """Starts of the tasks that run now."""
 
     def __init__(self) -> None:
         self._starts: dict[Offer, dict[str, tuple[JobSpec, SortedList[timedelta]]]] = {}
 
-    def started(self, placement: Placement) -> None:
+    def task_started(self, placement: Placement) -> None:
         """It runs; ``running_since`` stays as it is from now on."""
         jobs = self._starts.setdefault(_offer(placement), {})
         entry = jobs.get(placement.job)
@@ -43,7 +43,7 @@
             entry = jobs[placement.job] = (placement.spec, SortedList())
         entry[1].add(placement.running_since)
 
-    def left(self, placement: Placement) -> None:
+    def task_left(self, placement: Placement) -> None:
         """It is on its machine no more."""
         jobs = self._starts[_offer(placement)]
         starts = jobs[placement.job][1]
@@ -54,7 +54,7 @@
     def offers(self) -> list[Offer]:
         return [offer for offer, jobs in self._starts.items() if jobs]
 
-    def released(self, offer: Offer, by: timedelta, spans: Spans) -> Usage:
+    def released(self, offer: Offer, by: timedelta, spans: RunTimes) -> Usage:
         """What tasks there will have released ``by`` then; those past their estimate are about to end."""
         total = Usage()
         for spec, starts in self._starts[offer].values():
--- a/gingerspar/coordination/cluster/job_order.py
+++ b/gingerspar/coordination/cluster/job_order.py
@@ -10,7 +10,7 @@
 PER_DOUBLING = timedelta(seconds=120)
 
 
-class Turns:
+class JobOrder:
     """Priority, then earliest due, then the turn.
 
     Where nobody says when a job should be done, neither its deadline nor the operators' objectives
@@ -25,7 +25,7 @@
     def __init__(self, objectives: Iterable[Objective] = ()) -> None:
         self._asked = {objective.jobclass for objective in objectives if objective.jobclass}
 
-    def order(self, record: JobRecord, left: int | None = None) -> Order:
+    def key(self, record: JobRecord, left: int | None = None) -> Order:
         """``left``: tasks that are not done yet, if that is known better than by the record."""
         spec = record.spec
         if spec.due_s is not None or spec.jobclass in self._asked:
--- a/gingerspar/coordination/cluster/job_runs.py
+++ b/gingerspar/coordination/cluster/job_runs.py
@@ -16,10 +16,10 @@
 FIRST_BACKOFF = timedelta(seconds=1)
 
 
-Family = tuple[object, ...]  # of jobs that may use the same machines
+ConstraintKey = tuple[object, ...]  # of jobs that may use the same machines
 
 
-class Least(NamedTuple):
+class MinDemand(NamedTuple):
     """The least of each that a task takes, over several jobs."""
 
     cpus: float
@@ -40,182 +40,184 @@
     spec: JobSpec
     record: JobRecord
     finished: TaskSet  # as the record says, plus what reports say
-    saved: TaskSet  # as the record says
-    unsaved: set[int] = field(default_factory=set)  # finished, not yet in the record
+    recorded: TaskSet  # as the record says
+    unrecorded: set[int] = field(default_factory=set)  # finished, not yet in the record
     open: "SortedSet[int]" = field(default_factory=SortedSet)
     places: dict[int, list[Placement]] = field(default_factory=dict)  # live ones
     running: int = 0  # live ones that run or save
-    gang: GangState = GangState.IDLE
-    used_attempt: int = 0  # highest attempt that may have been started
+    gang_state: GangState = GangState.IDLE
+    max_used_attempt: int = 0  # highest attempt that may have been started
     not_before: timedelta | None = None
     backoff: timedelta = FIRST_BACKOFF
     failures: dict[str, int] = field(default_factory=dict)  # errors by machine
-    begun: bool = False  # a task of it has run
-    told_unbegun: bool = False
-    ran_well: bool = False  # a task of it was done somewhere
-    over: bool = False
-    told: timedelta | None = None  # when the claimant was last told of `unsaved`
-    reclaim_asked: timedelta | None = None
+    has_started: bool = False  # a task of it has run
+    logged_not_started: bool = False
+    has_succeeded: bool = False  # a task of it was done somewhere
+    ended: bool = False
+    notified_at: timedelta | None = None  # when the claimant was last told of `unrecorded`
+    reclaim_requested_at: timedelta | None = None
     submitted: timedelta = NOTHING  # on this node's steady clock
     waiting_since: timedelta | None = None
-    seen_open: int = 0  # open tasks when a pass last compared it with all machines
-    booked: dict[Machine, int] = field(default_factory=dict)  # room that is kept for a gang
-    booked_since: timedelta | None = None
-    limit_kept_since: timedelta | None = None  # since when what its team's limit leaves is kept for a gang
-    room_sought: timedelta | None = None  # when work was last looked at that could make room
+    open_when_scanned: int = 0  # open tasks when a pass last compared it with all machines
+    reserved: dict[Machine, int] = field(default_factory=dict)  # room that is kept for a gang
+    reserved_since: timedelta | None = None
+    limit_reserved_since: timedelta | None = None  # since when what its team's limit leaves is kept for a gang
+    preemption_checked_at: timedelta | None = None  # when work was last looked at that could make room
     order: Order = field(init=False)  # changes only through ``Backlog.reorder``
     lateness: int = 0
-    gangs: bool = field(init=False)
-    at_once: tuple[float, float] = field(init=False)  # processors and accelerators that it needs to get on
-    family: Family = field(init=False)
+    is_gang: bool = field(init=False)
+    demand: tuple[float, float] = field(init=False)  # processors and accelerators that it needs to get on
+    constraint_key: ConstraintKey = field(init=False)
 
     def __post_init__(self) -> None:
         self.order = self.record.order
         spec = self.spec
-        self.gangs = spec.shape is Shape.GANG
-        count = spec.tasks if self.gangs else 1
-        self.at_once = (count * spec.cpus, count * spec.gpus)
-        self.family = (spec.types, spec.zone, spec.spot, spec.gpus > 0, self.gangs)
+        self.is_gang = spec.shape is Shape.GANG
+        count = spec.tasks if self.is_gang else 1
+        self.demand = (count * spec.cpus, count * spec.gpus)
+        self.constraint_key = (spec.types, spec.zone, spec.spot, spec.gpus > 0, self.is_gang)
 
     @property
     def live(self) -> list[Placement]:
         return [placement for places in self.places.values() for placement in places]
 
-    def set_gang(self, state: GangState) -> None:
+    def set_gang_state(self, state: GangState) -> None:
         """The only place where a gang's state changes."""
-        self.gang = state
+        self.gang_state = state
 
     @property
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Claimed, and at least one task has no place; a gang starts only as a whole."""
-        if not self.open or self.over or self.record.status is not JobStatus.RUNNING:
+        if not self.open or self.ended or self.record.status is not JobStatus.RUNNING:
             return False
-        if self.gangs:
-            return self.gang is GangState.IDLE and not self.places and len(self.open) >= self.spec.tasks
+        if self.is_gang:
+            return self.gang_state is GangState.IDLE and not self.places and len(self.open) >= self.spec.tasks
         return True
 
     @property
-    def suspect(self) -> bool:
+    def is_suspect(self) -> bool:
         """It has failed and ran well nowhere so far, again and again: the job is to blame."""
-        return bool(self.failures) and not self.ran_well and self.backoff > FIRST_BACKOFF
+        return bool(self.failures) and not self.has_succeeded and self.backoff > FIRST_BACKOFF
 
     @property
     def needs_attempt(self) -> bool:
         """A gang whose attempt may have been used needs a new one before it starts."""
-        return self.gangs and self.waits and self.record.attempt <= self.used_attempt
+        return self.is_gang and self.is_waiting and self.record.attempt <= self.max_used_attempt
 
 
 class Backlog:
     """Runs with open tasks, by priority, then earliest due.
 
-    ``unseen`` are those that a pass has to compare with all machines. The others found
+    ``unscanned`` are those that a pass has to compare with all machines. The others found
     no room at their last look; since then only machines that gained room can help them.
     """
 
     def __init__(self) -> None:
         self.waiting: SortedDict[Order, JobRun] = SortedDict()
-        self.unseen: SortedDict[Order, JobRun] = SortedDict()
-        self.lacking_attempt: dict[str, JobRun] = {}
+        self.unscanned: SortedDict[Order, JobRun] = SortedDict()
+        self.awaiting_attempt: dict[str, JobRun] = {}
         self._delayed: dict[str, JobRun] = {}
-        self._families: dict[Family, dict[str, JobRun]] = {}
-        self._least: dict[Family, Least] = {}
+        self._by_constraint: dict[ConstraintKey, dict[str, JobRun]] = {}
+        self._min_demands: dict[ConstraintKey, MinDemand] = {}
 
-    def refile(self, run: JobRun, now: timedelta, *, fresh: bool = False) -> None:
+    def update(self, run: JobRun, now: timedelta, *, fresh: bool = False) -> None:
         """To be called after each change of what makes a run wait; ``fresh``: look at it anew."""
         order = run.order
-        if run.waits and run.not_before is not None and run.not_before > now:
+        if run.is_waiting and run.not_before is not None and run.not_before > now:
             self._delayed[run.spec.job] = run
             self._drop(run)
-        elif run.waits:
+        elif run.is_waiting:
             if order not in self.waiting:
                 run.waiting_since = now
                 self.waiting[order] = run
                 self._join(run)
                 fresh = True
-            if fresh or len(run.open) > run.seen_open:
-                self.unseen[order] = run
+            if fresh or len(run.open) > run.open_when_scanned:
+                self.unscanned[order] = run
         else:
             self._drop(run)
         if run.needs_attempt:
-            self.lacking_attempt[run.spec.job] = run
+            self.awaiting_attempt[run.spec.job] = run
         else:
-            self.lacking_attempt.pop(run.spec.job, None)
-            run.reclaim_asked = None
+            self.awaiting_attempt.pop(run.spec.job, None)
+            run.reclaim_requested_at = None
 
     def _drop(self, run: JobRun) -> None:
-        self.unseen.pop(run.order, None)
+        self.unscanned.pop(run.order, None)
         if self.waiting.pop(run.order, None) is None:
             return
-        members = self._families[run.family]
+        members = self._by_constraint[run.constraint_key]
         del members[run.spec.job]
-        least = self._least.get(run.family)
+        min_demand = self._min_demands.get(run.constraint_key)
         spec = run.spec
         if not members:
-            del self._families[run.family]
-            self._least.pop(run.family, None)
-        elif least is not None and (
-            spec.cpus <= least.cpus or spec.gpus <= least.gpus or spec.memory_gb <= least.memory_gb
+            del self._by_constraint[run.constraint_key]
+            self._min_demands.pop(run.constraint_key, None)
+        elif min_demand is not None and (
+            spec.cpus <= min_demand.cpus or spec.gpus <= min_demand.gpus or spec.memory_gb <= min_demand.memory_gb
         ):
-            del self._least[run.family]  # to be worked out again
+            del self._min_demands[run.constraint_key]  # to be worked out again
 
     def _join(self, run: JobRun) -> None:
-        members = self._families.setdefault(run.family, {})
+        members = self._by_constraint.setdefault(run.constraint_key, {})
         members[run.spec.job] = run
-        least = self._least.get(run.family)
-        if least is not None:
-            self._least[run.family] = _less_of(least, run.spec)
+        min_demand = self._min_demands.get(run.constraint_key)
+        if min_demand is not None:
+            self._min_demands[run.constraint_key] = _less_of(min_demand, run.spec)
 
-    def least(self) -> list[tuple[Family, Least]]:
+    def min_demands(self) -> list[tuple[ConstraintKey, MinDemand]]:
         """What a task takes at the least, for each family of the jobs that wait."""
-        for family, members in self._families.items():
-            if family not in self._least:
-                least = Least(math.inf, math.inf, math.inf)
+        for constraint_key, members in self._by_constraint.items():
+            if constraint_key not in self._min_demands:
+                min_demand = MinDemand(math.inf, math.inf, math.inf)
                 for run in members.values():
-                    least = _less_of(least, run.spec)
-                self._least[family] = least
-        return list(self._least.items())
+                    min_demand = _less_of(min_demand, run.spec)
+                self._min_demands[constraint_key] = min_demand
+        return list(self._min_demands.items())
 
-    def due(self, now: timedelta) -> None:
+    def resume_delayed(self, now: timedelta) -> None:
         """Takes up runs whose pause is over."""
         for job, run in list(self._delayed.items()):
             if run.not_before is None or run.not_before <= now:
                 del self._delayed[job]
-                self.refile(run, now)
+                self.update(run, now)
 
     def reorder(self, run: JobRun, order: Order) -> None:
         """What a job is due for changes while it waits."""
         if order == run.order:
             return
-        for queue in (self.waiting, self.unseen):
+        for queue in (self.waiting, self.unscanned):
             if queue.pop(run.order, None) is not None:
                 queue[order] = run
         run.order = order
 
-    def look_again(self) -> None:
+    def rescan_all(self) -> None:
         """All that wait are compared with all machines once more."""
-        self.unseen.update(self.waiting)
+        self.unscanned.update(self.waiting)
 
-    def seen(self, run: JobRun) -> None:
+    def mark_scanned(self, run: JobRun) -> None:
         """A pass has compared it with all machines."""
-        run.seen_open = len(run.open)
-        self.unseen.pop(run.order, None)
+        run.open_when_scanned = len(run.open)
+        self.unscanned.pop(run.order, None)
 
     def __iter__(self) -> Iterator[JobRun]:
         return iter(list(self.waiting.values()))
 
 
-def _less_of(least: Least, spec: JobSpec) -> Least:
-    return Least(min(least.cpus, spec.cpus), min(least.gpus, spec.gpus), min(least.memory_gb, spec.memory_gb))
+def _less_of(min_demand: MinDemand, spec: JobSpec) -> MinDemand:
+    return MinDemand(
+        min(min_demand.cpus, spec.cpus), min(min_demand.gpus, spec.gpus), min(min_demand.memory_gb, spec.memory_gb)
+    )
 
 
-def stranger(job: str) -> JobSpec:
+def unknown_job_spec(job: str) -> JobSpec:
     """Stands for a job that no record tells of."""
     return JobSpec(
         job=job, jobclass="", team="", shape=Shape.ARRAY, priority=Priority.LOW, tasks=1, cpus=0.0, memory_gb=0.0
     )
 
 
-def recordless(spec: JobSpec) -> JobRun:
+def run_of_ended_job(spec: JobSpec) -> JobRun:
     """Stands for a job that is over, whose tasks are still found on machines."""
     record = JobRecord(spec=spec, status=JobStatus.CANCELLED)
-    return JobRun(spec, record, TaskSet(spec.tasks), TaskSet(spec.tasks), over=True)
+    return JobRun(spec, record, TaskSet(spec.tasks), TaskSet(spec.tasks), ended=True)
--- a/gingerspar/coordination/cluster/machine.py
+++ b/gingerspar/coordination/cluster/machine.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from gingerspar.coordination.cluster.delivery import Hearing
+from gingerspar.coordination.cluster.delivery import AnswerDelivery
 from gingerspar.protocol.messages import Cause, JobSpec, MachineType, Priority, TaskStatus
 
 TaskId = tuple[str, int]  # job and number
@@ -51,7 +51,7 @@
 _FETCHING = {TaskState.PLANNED, TaskState.SENT, TaskState.FETCHING}
 NOTHING = timedelta(0)
 
-REPORTED = {
+TASK_STATE_BY_STATUS = {
     TaskStatus.FETCHING: TaskState.FETCHING,
     TaskStatus.WAITING: TaskState.WAITING,
     TaskStatus.RUNNING: TaskState.RUNNING,
@@ -71,12 +71,12 @@
     state: TaskState
     since: timedelta
     answered: tuple[int, int] = (0, 0)  # session and seq of the report whose answer carried `run`
-    stop: timedelta | None = None  # grace of the stop that is wanted
+    stop_grace: timedelta | None = None  # grace of the stop that is wanted
     stop_sent: bool = False
-    told_directly: timedelta | None = None  # grace of the stop that was sent outside of reports
+    direct_stop_grace: timedelta | None = None  # grace of the stop that was sent outside of reports
     cause: Cause | None = None
     running_since: timedelta | None = None
-    shielded: bool = False  # has its place by its class's share: more urgent work does not stop it
+    protected: bool = False  # has its place by its class's share: more urgent work does not stop it
     name: str = field(init=False)  # as reports and commands have it
 
     def __post_init__(self) -> None:
@@ -93,7 +93,7 @@
     @property
     def rank(self) -> int:
         """Less urgent work is stopped for work of a lower rank."""
-        return 0 if self.shielded else self.spec.priority.rank
+        return 0 if self.protected else self.spec.priority.rank
 
     @property
     def live(self) -> bool:
@@ -111,9 +111,9 @@
         self.state = state
         self.since = now
         if state in (TaskState.EXITED, TaskState.GONE):
-            self.machine.release(self)
+            self.machine.remove_placement(self)
         else:
-            self.machine.outlook = None
+            self.machine.cached_forecast = None
 
 
 SERVICE_SPAN = timedelta(minutes=5)  # what a task that never ends counts as
@@ -163,14 +163,14 @@
     return count if count > 0 else 0
 
 
-def slots(kind: MachineType, spec: JobSpec) -> int:
+def task_capacity(kind: MachineType, spec: JobSpec) -> int:
     """Tasks of this kind that an empty machine takes."""
     return fits(spec, kind.cpus, kind.gpus, kind.memory_gb)
 
 
-def slot_cost(kind: MachineType, spot: bool, spec: JobSpec) -> float:
+def cost_per_task(kind: MachineType, spot: bool, spec: JobSpec) -> float:
     """What a place for one task costs an hour on a machine that is full of them."""
-    count = slots(kind, spec)
+    count = task_capacity(kind, spec)
     return kind.cost(spot) / count if count else math.inf
 
 
@@ -180,7 +180,7 @@
 
 
 @dataclass(slots=True)
-class Weight:
+class StopCost:
     """What stopping the tasks of one priority would throw away."""
 
     weight: float = 0.0  # of those whose work since their start would be lost
@@ -189,7 +189,7 @@
 
     def add(self, placement: Placement) -> None:
         spec = placement.spec
-        if placement.stop is not None:
+        if placement.stop_grace is not None:
             return
         weight = resource_weight(spec)
         if spec.checkpoint_s:
@@ -203,14 +203,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Outlook:
+class UsageForecast:
     """What a machine's present tasks say of its next minutes; kept until one of them changes."""
 
     last_end: timedelta | None  # of the running ones, by their estimates
     longest_ahead: timedelta  # of those that don't run yet
     longest: timedelta
     fetching: frozenset[str]  # images that are still under way
-    weights: tuple[Weight, ...]  # of the tasks of each priority
+    weights: tuple[StopCost, ...]  # of the tasks of each priority
 
 
 @dataclass(slots=True, eq=False)
@@ -227,16 +227,18 @@
     address: str = ""
     session: int = 0
     seq: int = 0
-    least_session: int = 0  # reports of earlier sessions are stale: their lease has run out
+    min_session: int = 0  # reports of earlier sessions are stale: their lease has run out
     answered: timedelta | None = None  # when the last report that got a 200 came in
-    told: timedelta | None = None  # when it was first answered by this leader without showing its token since
-    shown: int = 0  # the last session in which it has shown this leader's token
-    hearing: Hearing = field(init=False)
+    token_sent_at: timedelta | None = None  # when it was first answered by this leader without showing its token since
+    token_session: int = 0  # the last session in which it has shown this leader's token
+    delivery: AnswerDelivery = field(init=False)
     rostered: bool = False
     notice: timedelta | None = None  # when the cloud takes it away
     live: dict[tuple[str, int, int], Placement] = field(default_factory=dict)
-    exited: dict[tuple[str, int, int], Cause | None] = field(default_factory=dict)
-    ended: dict[tuple[str, int], tuple[str, int, int]] = field(default_factory=dict)  # of these, by the report's
+    exited_placements: dict[tuple[str, int, int], Cause | None] = field(default_factory=dict)
+    ended_placements: dict[tuple[str, int], tuple[str, int, int]] = field(
+        default_factory=dict
+    )  # of these, by the report's
     # name and attempt, what has been taken in: a finish is listed until its record shows it
     used: Usage = field(default_factory=Usage)
     shares: list[Usage] = field(default_factory=lambda: _empty_shares())  # of it by priority
@@ -244,14 +246,14 @@
     idle_since: timedelta | None = None
     errors: dict[str, int] = field(default_factory=dict)  # failed tasks by job since the last success
     suspect_until: timedelta | None = None
-    why_leaving: str = ""
-    booked: Usage = field(default_factory=Usage)  # kept for gangs that wait for more room
-    outlook: Outlook | None = None
+    leave_reason: str = ""
+    reserved: Usage = field(default_factory=Usage)  # kept for gangs that wait for more room
+    cached_forecast: UsageForecast | None = None
     tasks_seen: bytes | None = None  # the task list of the last report, when it was taken in whole
-    changed: Callable[["Machine", bool], None] = lambda machine, gained: None  # tells the pool
+    on_change: Callable[["Machine", bool], None] = lambda machine, gained: None  # tells the pool
 
     def __post_init__(self) -> None:
-        self.hearing = Hearing(self.name)
+        self.delivery = AnswerDelivery(self.name)
 
     def move(self, state: MachineState) -> None:
         """The only place where a machine's state changes."""
@@ -260,62 +262,62 @@
         if state not in _MACHINE_MOVES[self.state]:
             raise RuntimeError(f"{self.name}: {self.state} to {state}")
         self.state = state
-        self.changed(self, True)
+        self.on_change(self, True)
 
     @property
     def settled(self) -> bool:
         """Its reports tell all that is on it, and it is given commands."""
         return self.state is MachineState.READY or self.state is MachineState.LEAVING
 
-    def judge(self, heard: bool) -> None:
+    def record_delivery(self, heard: bool) -> None:
         """Its report shows whether the answer before has reached it."""
-        before = self.hearing.hears
+        before = self.delivery.is_confirmed
         if heard:
-            self.hearing.heard()
+            self.delivery.answer_received()
         else:
-            self.hearing.missed()
-        if before is not self.hearing.hears:
-            self.changed(self, True)
+            self.delivery.answer_lost()
+        if before is not self.delivery.is_confirmed:
+            self.on_change(self, True)
 
-    def enlist(self) -> None:
+    def mark_rostered(self) -> None:
         """The machine is on the roster now: tasks may be sent to it."""
         self.rostered = True
-        self.changed(self, True)
+        self.on_change(self, True)
 
     def set_kind(self, kind: MachineType | None) -> None:
         known, self.kind = self.kind, kind
         if known is None or kind is None:
-            self.changed(self, True)
+            self.on_change(self, True)
 
-    def take(self, placement: Placement) -> None:
+    def add_placement(self, placement: Placement) -> None:
         self.live[(placement.job, placement.number, placement.attempt)] = placement
         self.used.add(placement.spec)
         self.shares[placement.rank].add(placement.spec)
         self.idle_since = None
-        self.outlook = None
-        self.changed(self, False)
+        self.cached_forecast = None
+        self.on_change(self, False)
 
-    def release(self, placement: Placement) -> None:
+    def remove_placement(self, placement: Placement) -> None:
         if self.live.pop((placement.job, placement.number, placement.attempt), None) is not None:
             self.used.add(placement.spec, -1)
             self.shares[placement.rank].add(placement.spec, -1)
-            self.outlook = None
+            self.cached_forecast = None
             if not self.live:
                 self.used, self.shares = Usage(), _empty_shares()  # no rounding left over
                 self.idle_since = None
-            self.changed(self, True)
+            self.on_change(self, True)
 
-    def book(self, spec: JobSpec, count: int) -> None:
+    def reserve(self, spec: JobSpec, count: int) -> None:
         """Keeps room for tasks, or with a negative count gives it up."""
-        self.booked.add(spec, count)
-        self.changed(self, count < 0)
+        self.reserved.add(spec, count)
+        self.on_change(self, count < 0)
 
     def free(self) -> tuple[float, float, float]:
         """Processors, accelerators and memory that no task has and no gang has booked."""
         kind = self.kind
         if kind is None:
             return 0.0, 0.0, 0.0
-        used, booked = self.used, self.booked  # asked some ten thousand times a second: ``unused`` is not called here
+        used, booked = self.used, self.reserved  # asked some ten thousand times a second: ``unused`` is not called here
         return (
             kind.cpus - used.cpus - booked.cpus,
             kind.gpus - used.gpus - booked.gpus,
@@ -329,18 +331,18 @@
             return 0.0, 0.0, 0.0
         return kind.cpus - used.cpus, kind.gpus - used.gpus, kind.memory_gb - used.memory_gb
 
-    def room_for(self, spec: JobSpec) -> int:
+    def tasks_that_fit(self, spec: JobSpec) -> int:
         """How many more tasks of this kind fit."""
         cpus, gpus, memory = self.free()
         return fits(spec, cpus, gpus, memory)
 
-    def look_ahead(self) -> Outlook:
+    def forecast(self) -> UsageForecast:
         """The machine's outlook, worked out again only after a change."""
-        if self.outlook is None:
+        if self.cached_forecast is None:
             last_end: timedelta | None = None
             longest_ahead = longest = NOTHING
             fetching: set[str] = set()
-            weights = tuple([Weight() for _ in range(RANKS)])
+            weights = tuple([StopCost() for _ in range(RANKS)])
             spans: dict[str, timedelta] = {}  # mostly these are tasks of few jobs
             for placement in self.live.values():
                 spec = placement.spec
@@ -356,13 +358,13 @@
                     last_end = since + span
                 if placement.state in _FETCHING and spec.image not in self.images:
                     fetching.add(spec.image)
-            self.outlook = Outlook(last_end, longest_ahead, longest, frozenset(fetching), weights)
-        return self.outlook
+            self.cached_forecast = UsageForecast(last_end, longest_ahead, longest, frozenset(fetching), weights)
+        return self.cached_forecast
 
     def remember_image(self, image: str, size_gb: float) -> None:
         """The machine has used this image; it caches the most recently used ones."""
         if self.images.pop(image, None) is None:
-            self.outlook = None
+            self.cached_forecast = None
         self.images[image] = size_gb
         room = self.kind.cache_gb if self.kind is not None else 0.0
         total = sum(self.images.values())
--- a/gingerspar/coordination/cluster/pool.py
+++ b/gingerspar/coordination/cluster/pool.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from gingerspar.coordination.cluster.capacity_index import Need, Needs
+from gingerspar.coordination.cluster.capacity_index import CapacityIndex, CapacityIndexes
 from gingerspar.coordination.cluster.machine import Machine, MachineState, fits, run_time
 from gingerspar.protocol.messages import JobSpec, MachineType
 
@@ -54,25 +54,25 @@
         self._room: dict[Offer, dict[Bucket, dict[str, Machine]]] = {}
         self._gained: dict[str, Machine] = {}
         self._unsettled: Unsettled | None = None
-        self._needs = Needs()
+        self._capacity_indexes = CapacityIndexes()
         self._held: dict[Machine, tuple[float, float, float]] | None = None
 
     def add(self, machine: Machine) -> None:
         self.machines[machine.name] = machine
-        machine.changed = self._changed
+        machine.on_change = self._changed
         self._changed(machine, True)
 
     def remove(self, machine: Machine) -> None:
         del self.machines[machine.name]
         del self.states[self._state_of.pop(machine.name)][machine.name]
         self._unfile(machine)
-        self._needs.changed(machine)
+        self._capacity_indexes.machine_changed(machine)
         self._gained.pop(machine.name, None)
 
     def __iter__(self) -> Iterator[Machine]:
         return iter(list(self.machines.values()))
 
-    def among(self, *states: MachineState) -> list[Machine]:
+    def in_states(self, *states: MachineState) -> list[Machine]:
         return [machine for state in states for machine in self.states[state].values()]
 
     # -- keeping the index ----------------------------------------------------
@@ -82,7 +82,7 @@
         name = machine.name
         if name not in self.machines:
             return
-        self._needs.changed(machine)
+        self._capacity_indexes.machine_changed(machine)
         before = self._state_of.get(name)
         if before is not machine.state:
             if before is not None:
@@ -92,7 +92,12 @@
         if MachineState.UNSETTLED in (before, machine.state):
             self._unsettled = None
         kind = machine.kind
-        if machine.state is not MachineState.READY or not machine.rostered or kind is None or not machine.hearing.hears:
+        if (
+            machine.state is not MachineState.READY
+            or not machine.rostered
+            or kind is None
+            or not machine.delivery.is_confirmed
+        ):
             self._unfile(machine)
             return
         cpus, gpus, _ = machine.free()
@@ -115,7 +120,7 @@
                 del buckets[bucket]
 
     @contextmanager
-    def weighing(self, machines: Iterable[Machine]) -> Iterator[None]:
+    def ignore_transient_gains(self, machines: Iterable[Machine]) -> Iterator[None]:
         """Room on these machines is given up and mostly taken again: only what stays free is news.
 
         A gang gives its booked room up to look whether it fits now. If each such look told
@@ -133,13 +138,13 @@
 
     # -- questions ------------------------------------------------------------
 
-    def need(self, spec: JobSpec) -> Need:
+    def capacity(self, spec: JobSpec) -> CapacityIndex:
         """What the ready machines that the job allows could give to tasks like its own, up to date."""
-        need = self._needs.of(spec, self.machines.values)
-        self.looked_at += need.refresh(
+        index = self._capacity_indexes.of(spec, self.machines.values)
+        self.looked_at += index.refresh(
             lambda machine: machine.name in self._filed and allows(spec, machine.type, machine.zone, machine.spot)
         )
-        return need
+        return index
 
     def with_room(self, spec: JobSpec) -> list[Machine]:
         """Ready machines that the job allows and that take at least one of its tasks."""
@@ -152,10 +157,10 @@
                 if gpus < least_gpus or cpus < least_cpus:
                     continue
                 self.looked_at += len(machines)
-                found += [machine for machine in machines.values() if machine.room_for(spec) > 0]
+                found += [machine for machine in machines.values() if machine.tasks_that_fit(spec) > 0]
         return found
 
-    def emptied(self, spec: JobSpec, spared: Container[Machine], now: timedelta) -> list[Machine]:
+    def earliest_available(self, spec: JobSpec, spared: Container[Machine], now: timedelta) -> list[Machine]:
         """The machine that would take a task of the job first, if it took nothing else; none of those ``spared``."""
         usable = [
             machine
@@ -201,7 +206,7 @@
         return [machine for name, machine in gained.items() if name in self._filed]
 
     @property
-    def any_gained(self) -> bool:
+    def has_gained(self) -> bool:
         return bool(self._gained)
 
     @property
--- a/gingerspar/coordination/cluster/service_level.py
+++ b/gingerspar/coordination/cluster/service_level.py
@@ -22,109 +22,109 @@
 LAGGING_BELOW = 0.5  # of the jobs that should be done by now
 SERVED_FROM = 0.65
 LEAST_JOBS = 20  # fewer say nothing yet
-PATIENCE = timedelta(seconds=60)  # a job that has waited longer than this and twice its run time should be done
-SHARE = 0.2  # of all ready machines, for all lagging classes together
+OVERDUE_AFTER = timedelta(seconds=60)  # a job that has waited longer than this and twice its run time should be done
+LAGGING_SHARE = 0.2  # of all ready machines, for all lagging classes together
 TO_BEGIN = 0.05  # more of them, for first tasks of jobs that are late to begin
-FIRST = -1  # before all priorities
+TOP_RANK = -1  # before all priorities
 
 
-class ServiceState(Enum):
+class ServiceLevelState(Enum):
     SERVED = "served"
     LAGGING = "lagging"
 
 
 @dataclass(slots=True)
-class Service:
+class ServiceLevel:
     """What is known of one class."""
 
-    state: ServiceState = ServiceState.SERVED
+    state: ServiceLevelState = ServiceLevelState.SERVED
     done: int = 0
     overdue: int = 0  # unfinished, though they should be done by now
-    kept_from: frozenset[Offer] = frozenset()  # sorts of machine that more urgent work waits for as well
+    contended_offers: frozenset[Offer] = frozenset()  # sorts of machine that more urgent work waits for as well
 
 
 @dataclass(slots=True)
-class Services:
+class ServiceLevels:
     """All classes of one term; counts begin with what the records tell of jobs that are over."""
 
-    classes: dict[str, Service] = field(default_factory=dict)
-    weight: float = 0.0  # of all ready machines
-    held: float = 0.0  # of what runs within the share
+    classes: dict[str, ServiceLevel] = field(default_factory=dict)
+    total_weight: float = 0.0  # of all ready machines
+    used_weight: float = 0.0  # of what runs within the share
 
-    def over(self, jobclass: str, done: bool) -> None:
+    def job_ended(self, jobclass: str, done: bool) -> None:
         """A job of the class is over; cancelled ones don't count."""
         if done:
-            self.classes.setdefault(jobclass, Service()).done += 1
+            self.classes.setdefault(jobclass, ServiceLevel()).done += 1
 
-    def look(self, runs: Iterable[JobRun], pool: Pool, waiting: Iterable[JobRun], now: timedelta) -> None:
+    def update(self, runs: Iterable[JobRun], pool: Pool, waiting: Iterable[JobRun], now: timedelta) -> None:
         """Counts anew; to be called now and then."""
-        for service in self.classes.values():
-            service.overdue = 0
+        for level in self.classes.values():
+            level.overdue = 0
         for run in runs:
             endless = run.spec.shape is Shape.SERVICE
-            if not run.over and not endless and now - run.submitted > PATIENCE + 2 * run.spec.estimate:
-                self.classes.setdefault(run.spec.jobclass, Service()).overdue += 1
-        for name, service in self.classes.items():
-            self._judge(name, service)
+            if not run.ended and not endless and now - run.submitted > OVERDUE_AFTER + 2 * run.spec.estimate:
+                self.classes.setdefault(run.spec.jobclass, ServiceLevel()).overdue += 1
+        for name, level in self.classes.items():
+            self._judge(name, level)
         ready = pool.ready()
-        self.weight = sum(count * resource_weight(kind) for _, kind, count in ready)
+        self.total_weight = sum(count * resource_weight(kind) for _, kind, count in ready)
         lagging = self.lagging()
         if lagging:
             offers = [offer for offer, _, _ in ready]
             self._sort_out(lagging, offers, list(waiting))
 
-    def lagging(self) -> dict[str, Service]:
-        return {name: each for name, each in self.classes.items() if each.state is ServiceState.LAGGING}
+    def lagging(self) -> dict[str, ServiceLevel]:
+        return {name: each for name, each in self.classes.items() if each.state is ServiceLevelState.LAGGING}
 
-    def _judge(self, name: str, service: Service) -> None:
-        counted = service.done + service.overdue
-        share = service.done / counted if counted else 1.0
-        if service.state is ServiceState.SERVED and counted >= LEAST_JOBS and share < LAGGING_BELOW:
-            self._move(name, service, ServiceState.LAGGING)
-        elif service.state is ServiceState.LAGGING and share >= SERVED_FROM:
-            self._move(name, service, ServiceState.SERVED)
+    def _judge(self, name: str, level: ServiceLevel) -> None:
+        counted = level.done + level.overdue
+        share = level.done / counted if counted else 1.0
+        if level.state is ServiceLevelState.SERVED and counted >= LEAST_JOBS and share < LAGGING_BELOW:
+            self._move(name, level, ServiceLevelState.LAGGING)
+        elif level.state is ServiceLevelState.LAGGING and share >= SERVED_FROM:
+            self._move(name, level, ServiceLevelState.SERVED)
 
     @staticmethod
-    def _move(name: str, service: Service, state: ServiceState) -> None:
+    def _move(name: str, level: ServiceLevel, state: ServiceLevelState) -> None:
         """The only place where a class's state changes."""
         log.info(
             "class %s: %s -> %s, %d jobs done, %d overdue",
-            name, service.state.value, state.value, service.done, service.overdue,
+            name, level.state.value, state.value, level.done, level.overdue,
         )  # fmt: skip
-        service.state = state
+        level.state = state
 
     @staticmethod
-    def _sort_out(lagging: dict[str, Service], offers: list[Offer], waiting: list[JobRun]) -> None:
+    def _sort_out(lagging: dict[str, ServiceLevel], offers: list[Offer], waiting: list[JobRun]) -> None:
         """Which sorts of machine more urgent work of other classes keeps from each lagging class."""
-        for name, service in lagging.items():
+        for name, level in lagging.items():
             most_urgent = min((run.spec.priority.rank for run in waiting if run.spec.jobclass == name), default=0)
             above = [run.spec for run in waiting if run.spec.priority.rank < most_urgent]
-            service.kept_from = frozenset(offer for offer in offers if any(allows(spec, *offer) for spec in above))
+            level.contended_offers = frozenset(offer for offer in offers if any(allows(spec, *offer) for spec in above))
 
-    def first(self, run: JobRun) -> bool:
+    def has_priority(self, run: JobRun) -> bool:
         """Whether the job goes before more urgent work, as far as the share reaches."""
-        service = self.classes.get(run.spec.jobclass)
-        return service is not None and service.state is ServiceState.LAGGING and not run.gangs
+        level = self.classes.get(run.spec.jobclass)
+        return level is not None and level.state is ServiceLevelState.LAGGING and not run.is_gang
 
-    def contended(self, run: JobRun, machine: Machine) -> bool:
+    def is_contended(self, run: JobRun, machine: Machine) -> bool:
         """Whether a place there would be taken from more urgent work that waits."""
-        service = self.classes.get(run.spec.jobclass)
-        return service is not None and (machine.type, machine.zone, machine.spot) in service.kept_from
+        level = self.classes.get(run.spec.jobclass)
+        return level is not None and (machine.type, machine.zone, machine.spot) in level.contended_offers
 
-    def left(self, run: JobRun, *, to_begin: bool = False) -> int:
+    def remaining_tasks(self, run: JobRun, *, to_begin: bool = False) -> int:
         """Tasks of the job that the share still takes.
 
         ``to_begin``: the first tasks of jobs that are late to begin have some more, as lagging classes use all of
         the share (kerlann-fonts-fleet loss half as large again: five of the largest jobs had not begun in time).
         """
         weight = resource_weight(run.spec)
-        share = SHARE + TO_BEGIN if to_begin else SHARE
-        return max(int((self.weight * share - self.held) / weight), 0) if weight > 0 else 0
+        share = LAGGING_SHARE + TO_BEGIN if to_begin else LAGGING_SHARE
+        return max(int((self.total_weight * share - self.used_weight) / weight), 0) if weight > 0 else 0
 
-    def entered(self, placement: Placement) -> None:
-        if placement.shielded and placement.spec.shape is not Shape.GANG:  # a gang that is late to begin is not in it
-            self.held += resource_weight(placement.spec)
+    def task_placed(self, placement: Placement) -> None:
+        if placement.protected and placement.spec.shape is not Shape.GANG:  # a gang that is late to begin is not in it
+            self.used_weight += resource_weight(placement.spec)
 
-    def ended(self, placement: Placement) -> None:
-        if placement.shielded and placement.spec.shape is not Shape.GANG:
-            self.held = max(self.held - resource_weight(placement.spec), 0.0)
+    def task_ended(self, placement: Placement) -> None:
+        if placement.protected and placement.spec.shape is not Shape.GANG:
+            self.used_weight = max(self.used_weight - resource_weight(placement.spec), 0.0)
--- a/gingerspar/coordination/cluster/start_deadline.py
+++ b/gingerspar/coordination/cluster/start_deadline.py
@@ -14,16 +14,20 @@
 from gingerspar.coordination.cluster.machine import resource_weight
 from gingerspar.protocol.messages import JobSpec
 
-BEGIN_BY = timedelta(seconds=120)  # after its submission; the rest of the four minutes is for room and its image
-BEGIN_AT_LAST = timedelta(minutes=4)
-KNOWN_AFTER = timedelta(seconds=20)  # in a term's books: by then most machines have said what runs on them
+START_PRIORITY_AFTER = timedelta(
+    seconds=120
+)  # after its submission; the rest of the four minutes is for room and its image
+START_TARGET = timedelta(minutes=4)
+RUNNING_TASKS_KNOWN_AFTER = timedelta(
+    seconds=20
+)  # in a term's books: by then most machines have said what runs on them
 LARGEST = 0.1  # of a class, by tasks or by work; one at the least
-MOST_COUNTED = 2000  # jobs of one class
+MAX_JOBS_PER_CLASS = 2000  # jobs of one class
 
 Size = tuple[float, float, str]
 
 
-class Largest:
+class LargestJobs:
     """The sizes of the jobs of each class, as far as this term knows them."""
 
     def __init__(self) -> None:
@@ -37,10 +41,10 @@
             known = sizes.setdefault(spec.jobclass, SortedList())
             if size not in known:
                 known.add(size)
-            if len(known) > MOST_COUNTED:
+            if len(known) > MAX_JOBS_PER_CLASS:
                 del known[len(known) // 2]  # neither end of the list is what it is kept for
 
-    def among(self, spec: JobSpec) -> bool:
+    def contains(self, spec: JobSpec) -> bool:
         """Whether a job is one of the largest of its class; where all are alike none is."""
         tasks, work = _sizes(spec)
         known = ((self._by_tasks.get(spec.jobclass), tasks), (self._by_work.get(spec.jobclass), work))
--- a/gingerspar/coordination/jobs/claims.py
+++ b/gingerspar/coordination/jobs/claims.py
@@ -14,17 +14,17 @@
 import msgspec
 from sortedcontainers import SortedDict
 
-from gingerspar.coordination.cluster.job_order import Turns
+from gingerspar.coordination.cluster.job_order import JobOrder
 from gingerspar.coordination.membership.session import Session
 from gingerspar.protocol.messages import JobStatus, KeyVersion, Put, Shape, Transaction
 from gingerspar.protocol.settings import OperatorSettings, TeamFacts
 from gingerspar.storage import records
 from gingerspar.storage.budgets import Urgency
-from gingerspar.storage.client import Conflict, LeaseGone, StateClient, Unavailable, Unknown
+from gingerspar.storage.client import Conflict, LeaseExpired, OutcomeUnknown, StateClient, Unavailable
 from gingerspar.storage.records import JobRecord
 from gingerspar.storage.view import Versioned, WatchedView
 from gingerspar.transport.clock import Clock
-from gingerspar.transport.waits import within
+from gingerspar.transport.waits import wait_for_event
 
 log = logging.getLogger(__name__)
 
@@ -36,11 +36,11 @@
 UNREACHABLE = timedelta(seconds=4)  # a claimant cut off from the dispatcher releases its claims
 
 
-class Change(msgspec.Struct):
+class RecordChange(msgspec.Struct):
     """A new version of a record, to be written."""
 
     job: str
-    base: int  # version it replaces
+    base_version: int  # version it replaces
     record: JobRecord
     chunks: list[tuple[str, msgspec.Raw]] = []
 
@@ -67,7 +67,7 @@
     return msgspec.structs.replace(entry.record, status=JobStatus.CANCELLED, claimant=None, finished="", spilled=False)
 
 
-def with_results(entry: Versioned, tasks: set[int], value_bytes: int) -> Change | None:
+def with_results(entry: Versioned, tasks: set[int], value_bytes: int) -> RecordChange | None:
     """The record with newly finished tasks; done only once all are. None: nothing new."""
     record = entry.record
     finished = entry.finished.copy()
@@ -76,9 +76,9 @@
         return None
     if finished.full and record.spec.shape is not Shape.SERVICE:
         over = msgspec.structs.replace(record, status=JobStatus.DONE, claimant=None, finished="", spilled=False)
-        return Change(record.spec.job, entry.version, over)
+        return RecordChange(record.spec.job, entry.version, over)
     if not records.must_spill(record.spec.tasks, value_bytes):
-        return Change(record.spec.job, entry.version, msgspec.structs.replace(record, finished=finished.text()))
+        return RecordChange(record.spec.job, entry.version, msgspec.structs.replace(record, finished=finished.text()))
     step = records.chunk_bytes(value_bytes)
     chunks = [
         (
@@ -87,10 +87,10 @@
         )
         for chunk in sorted({number // (8 * step) for number in new})
     ]
-    return Change(record.spec.job, entry.version, msgspec.structs.replace(record, spilled=True), chunks)
+    return RecordChange(record.spec.job, entry.version, msgspec.structs.replace(record, spilled=True), chunks)
 
 
-class Held:
+class ClaimedResources:
     """What claimed, unfinished work of each team and priority takes in all; kept in step, record by record."""
 
     def __init__(self) -> None:
@@ -121,9 +121,9 @@
         sums = self._sums.get(whose, (0.0, 0.0))
         self._sums[whose] = (sums[0] + cpus, sums[1] + gpus)
 
-    def with_more(self) -> "Held":
+    def with_more(self) -> "ClaimedResources":
         """A copy of the sums, to which what is about to be claimed is added."""
-        found = Held()
+        found = ClaimedResources()
         found._sums = dict(self._sums)
         return found
 
@@ -158,7 +158,7 @@
     return left * spec.cpus, left * spec.gpus
 
 
-class Pending:
+class PendingResults:
     """Newly finished tasks of one job that its record doesn't show yet."""
 
     __slots__ = ("since", "tasks")
@@ -168,7 +168,7 @@
         self.since = since
 
 
-class Claims:
+class ClaimManager:
     """Runs in every node."""
 
     def __init__(
@@ -180,7 +180,7 @@
         clock: Clock,
         teams: dict[str, TeamFacts],
         settings: OperatorSettings,
-        turns: Turns,
+        job_order: JobOrder,
     ) -> None:
         self._node = node
         self._client = client
@@ -189,18 +189,18 @@
         self._clock = clock
         self._teams = teams
         self._settings = settings
-        self._turns = turns
+        self._job_order = job_order
         self._pending: SortedDict[tuple[int, float, float, str], str] = SortedDict()
         self._orders: dict[str, tuple[int, float, float, str]] = {}
         self._since: dict[str, timedelta] = {}
         self._accepted: set[str] = set()  # by this node: it claims them at once
-        self._results: dict[str, Pending] = {}
+        self._results: dict[str, PendingResults] = {}
         self._reclaims: dict[str, int] = {}
-        self._held = Held()
+        self._held = ClaimedResources()
         self._wake = asyncio.Event()
         self._result_wake = asyncio.Event()
         self._reached = clock.now()
-        self.reachable: Callable[[], bool] = lambda: True  # whether the dispatcher can be handed work
+        self.dispatcher_reachable: Callable[[], bool] = lambda: True  # whether the dispatcher can be handed work
         self.hand_over: Callable[[str, int, JobRecord], None] = lambda job, version, record: None
         view.on_job.append(self._job_changed)
 
@@ -209,7 +209,7 @@
         self._held.see(job, entry, overdue=entry is not None and self._overdue(entry))
         if entry is not None and entry.record.status is JobStatus.PENDING:
             if job not in self._orders:
-                order = self._turns.order(entry.record)
+                order = self._job_order.key(entry.record)
                 self._orders[job] = order
                 self._pending[order] = job
                 self._since[job] = self._clock.now()
@@ -228,11 +228,11 @@
             self._results.pop(job, None)
             self._reclaims.pop(job, None)
 
-    def accepted(self, job: str) -> None:
+    def add_accepted(self, job: str) -> None:
         self._accepted.add(job)
         self._wake.set()
 
-    def finished(self, jobs: dict[str, list[int]]) -> None:
+    def add_finished(self, jobs: dict[str, list[int]]) -> None:
         """From the dispatcher; said again until the record shows it."""
         now = self._clock.now()
         for job, tasks in jobs.items():
@@ -241,7 +241,7 @@
                 continue
             pending = self._results.get(job)
             if pending is None:
-                pending = self._results[job] = Pending(now)
+                pending = self._results[job] = PendingResults(now)
             pending.tasks.update(number for number in tasks if number not in entry.finished)
             self._result_wake.set()
 
@@ -252,13 +252,13 @@
 
     async def run_claims(self) -> None:
         while True:
-            if await within(self._wake, timedelta(seconds=0.5)):
+            if await wait_for_event(self._wake, timedelta(seconds=0.5)):
                 await asyncio.sleep(0.005)
             self._wake.clear()
             if self._view.term is None or self._session.claimant is None:
                 continue
             now = self._clock.now()
-            if self.reachable():
+            if self.dispatcher_reachable():
                 self._reached = now
                 await self._write(self._next_reclaims(), Urgency.CLAIM, hand_over=True)
                 while batch := self._next_claims(now):
@@ -267,11 +267,11 @@
             elif now - self._reached > UNREACHABLE:
                 await self._write(self._next_releases(), Urgency.BACKGROUND)
 
-    def _next_claims(self, now: timedelta) -> list[Change]:
+    def _next_claims(self, now: timedelta) -> list[RecordChange]:
         claimant, term = self._session.claimant, self._view.term
         if claimant is None or term is None or not self._pending:
             return []
-        batch: list[Change] = []
+        batch: list[RecordChange] = []
         most = min(self._settings.claim_batch, self._client.most_puts)
         held = self._held.with_more()
         nodes = sorted(self._view.nodes)
@@ -288,7 +288,7 @@
             if job in self._accepted or (waited >= NOTHING and waited >= NEXT_TURN * self._turn(job, nodes)):
                 if not overdue:
                     held.add(entry)
-                batch.append(Change(job, entry.version, claimed(entry, claimant, term[0].term)))
+                batch.append(RecordChange(job, entry.version, claimed(entry, claimant, term[0].term)))
                 if len(batch) >= most:
                     break
         return batch
@@ -304,19 +304,19 @@
         order = sorted(nodes, key=lambda node: zlib.crc32(f"{job} {node}".encode()))
         return order.index(self._node) if self._node in order else len(order)
 
-    def _next_reclaims(self) -> list[Change]:
+    def _next_reclaims(self) -> list[RecordChange]:
         claimant, term = self._session.claimant, self._view.term
-        batch: list[Change] = []
+        batch: list[RecordChange] = []
         for job, attempt in list(self._reclaims.items()):
             entry = self._view.jobs.get(job)
             if entry is None or entry.record.claimant != claimant or entry.record.attempt > attempt:
                 del self._reclaims[job]
             elif claimant is not None and term is not None and len(batch) < self._client.most_puts:
                 del self._reclaims[job]
-                batch.append(Change(job, entry.version, claimed(entry, claimant, term[0].term)))
+                batch.append(RecordChange(job, entry.version, claimed(entry, claimant, term[0].term)))
         return batch
 
-    def _next_releases(self) -> list[Change]:
+    def _next_releases(self) -> list[RecordChange]:
         claimant = self._session.claimant
         mine = [
             (job, entry)
@@ -324,14 +324,14 @@
             if claimant is not None and entry.record.claimant == claimant
         ]
         return [
-            Change(job, entry.version, released(entry))
+            RecordChange(job, entry.version, released(entry))
             for job, entry in mine[: min(self._settings.sweep_batch, self._client.most_puts)]
         ]
 
     async def run_results(self) -> None:
         while True:
             # A finish that completes no job waits for others of its job, `result_delay` at most.
-            await within(self._result_wake, timedelta(seconds=1))
+            await wait_for_event(self._result_wake, timedelta(seconds=1))
             self._result_wake.clear()
             if self._session.claimant is None:
                 await asyncio.sleep(0.2)
@@ -341,7 +341,7 @@
                     break
             await asyncio.sleep(self._settings.result_interval.total_seconds())
 
-    def _next_results(self, now: timedelta) -> list[Change]:
+    def _next_results(self, now: timedelta) -> list[RecordChange]:
         """One write per job with newly finished tasks, as many jobs as fit one transaction.
 
         Those that complete their job go first, then what has waited longest.
@@ -357,7 +357,7 @@
             if completes or now - pending.since >= self._settings.result_delay:
                 ready.append((not completes, pending.since, job))
         ready.sort()
-        batch: list[Change] = []
+        batch: list[RecordChange] = []
         puts = 0
         for _, _, job in ready:
             change = with_results(self._view.jobs[job], self._results[job].tasks, self._client.value_bytes)
@@ -370,13 +370,13 @@
             batch.append(change)
         return batch
 
-    async def _write(self, batch: list[Change], urgency: Urgency, *, hand_over: bool = False) -> bool:
+    async def _write(self, batch: list[RecordChange], urgency: Urgency, *, hand_over: bool = False) -> bool:
         """Commits the changes in one transaction; what it wrote is in the view at once."""
         term = self._view.term
         if not batch or term is None:
             return False
         session = self._session.condition()
-        conditions = [session, *(KeyVersion(records.job_key(change.job), change.base) for change in batch)]
+        conditions = [session, *(KeyVersion(records.job_key(change.job), change.base_version) for change in batch)]
         if hand_over:
             # A claim names the term it was made in: none is made for an older leader than
             # the record says, so `first_term` tells who may have started its tasks.
@@ -391,9 +391,9 @@
             log.debug("write refused: %s", conflict)
             await self._view.barrier(timedelta(seconds=1))
             return False
-        except LeaseGone:
+        except LeaseExpired:
             return False
-        except (Unavailable, Unknown) as error:
+        except (Unavailable, OutcomeUnknown) as error:
             log.debug("write: %s", error)
             await asyncio.sleep(0.1)
             self._wake.set()
--- a/gingerspar/coordination/jobs/job_api.py
+++ b/gingerspar/coordination/jobs/job_api.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Any
 
-from gingerspar.coordination.jobs.claims import Claims, cancelled
+from gingerspar.coordination.jobs.claims import ClaimManager, cancelled
 from gingerspar.protocol import messages
 from gingerspar.protocol.messages import (
     JobSpec,
@@ -31,7 +31,7 @@
 from gingerspar.protocol.settings import TeamFacts
 from gingerspar.storage import records
 from gingerspar.storage.budgets import Urgency
-from gingerspar.storage.client import Conflict, LeaseGone, StateClient, Unavailable, Unknown
+from gingerspar.storage.client import Conflict, LeaseExpired, OutcomeUnknown, StateClient, Unavailable
 from gingerspar.storage.records import FinalRecord, JobRecord
 from gingerspar.storage.view import Phase, WatchedView
 from gingerspar.transport.clock import Clock
@@ -48,23 +48,23 @@
 # bench/days/late-writes, and 0.58 of the submissions were accepted within a second.
 SAID_AGAIN = (timedelta(seconds=0.25), timedelta(seconds=0.5), timedelta(seconds=1.5))
 ALONE = timedelta(seconds=6)  # without the state service and all peers for so long: others may do better
-STATE_GONE = timedelta(seconds=2.5)  # without a read for so long: no state service
+STATE_UNAVAILABLE_AFTER = timedelta(seconds=2.5)  # without a read for so long: no state service
 
 
-def problem(status: int, text: str, retry_after: int | None = None) -> Answer:
+def error_answer(status: int, text: str, retry_after: int | None = None) -> Answer:
     headers = {} if retry_after is None else {"Retry-After": str(retry_after)}
     return Answer(status, messages.encode({"error": text}), headers)
 
 
-UNREADABLE = problem(503, "the record is of a newer release", 5)  # never a guess, and never 404
+RECORD_UNREADABLE = error_answer(503, "the record is of a newer release", 5)  # never a guess, and never 404
 
 
-def verdict(spec: JobSpec, teams: dict[str, TeamFacts], types: dict[str, MachineType]) -> str | None:
+def rejection_reason(spec: JobSpec, teams: dict[str, TeamFacts], types: dict[str, MachineType]) -> str | None:
     """Why a job can never run, or None."""
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team}"
-    if not any(allowed_on(spec, kind) for kind in types.values()):
+    if not any(fits_machine_type(spec, kind) for kind in types.values()):
         return "a task fits no allowed machine type"
     count = 1 if spec.shape is Shape.ARRAY else spec.tasks
     if team.cpus_max and spec.cpus * count > team.cpus_max + 1e-9:
@@ -74,7 +74,7 @@
     return None
 
 
-def allowed_on(spec: JobSpec, kind: MachineType) -> bool:
+def fits_machine_type(spec: JobSpec, kind: MachineType) -> bool:
     """Type, zone and size; not whether there is room now."""
     if spec.types is not None and kind.name not in spec.types:
         return False
@@ -100,11 +100,11 @@
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
 
-class FrontDoor:
+class JobApi:
     """Runs in every node."""
 
     def __init__(
-        self, client: StateClient, view: WatchedView, claims: Claims, clock: Clock, teams: dict[str, TeamFacts]
+        self, client: StateClient, view: WatchedView, claims: ClaimManager, clock: Clock, teams: dict[str, TeamFacts]
     ) -> None:
         self._client = client
         self._view = view
@@ -118,8 +118,8 @@
         self.types: Callable[[], dict[str, MachineType]] = dict
         self.running: Callable[[str], int] = lambda job: 0
         self.peer_has_state: Callable[[], bool] = lambda: False
-        self.hears_peers: Callable[[], bool] = lambda: True  # or has none
-        self.tell_cancelled: Callable[[str, int, JobRecord], None] = lambda job, version, record: None
+        self.has_peer_contact: Callable[[], bool] = lambda: True  # or has none
+        self.notify_cancelled: Callable[[str, int, JobRecord], None] = lambda job, version, record: None
 
     # -- health ---------------------------------------------------------------
 
@@ -133,12 +133,12 @@
         if self._has_state():
             return Answer(200, b'{"ok":true}')
         told = self._view.phase is Phase.FOLLOWING and not self.peer_has_state()
-        if told and (self.hears_peers() or self._view.age() < ALONE):
+        if told and (self.has_peer_contact() or self._view.age() < ALONE):
             return Answer(200, b'{"ok":true}')
-        return problem(503, "no state service", 1)
+        return error_answer(503, "no state service", 1)
 
     def _has_state(self) -> bool:
-        return self._view.phase is Phase.FOLLOWING and self._view.age() < STATE_GONE
+        return self._view.phase is Phase.FOLLOWING and self._view.age() < STATE_UNAVAILABLE_AFTER
 
     # -- submissions ----------------------------------------------------------
 
@@ -146,30 +146,30 @@
         try:
             body = messages.read_json(content)
         except Malformed as error:
-            return problem(400, str(error))
+            return error_answer(400, str(error))
         job = messages.job_id_in(body)
         spec, refusal = self._check(body)
         if job is None:
-            return refusal or problem(400, "Ref: not a job id")
+            return refusal or error_answer(400, "Ref: not a job id")
         known = self._view.status_of(job)
         if known is not None and known.final:
             return self._state(200, job, known)
         if not self._has_state():
-            return problem(503, "no state service", 1)
+            return error_answer(503, "no state service", 1)
         if job in self._view.unreadable:
-            return UNREADABLE
+            return RECORD_UNREADABLE
         if known is not None or spec is None:
             # An accepted job's id wins over whatever is wrong with this body.
             if not await self._view.barrier(POLL_WAIT):
-                return problem(503, "no state service", 1)
+                return error_answer(503, "no state service", 1)
             known = self._view.status_of(job)
             if known is not None:
                 return self._state(200, job, known)
-            return refusal or problem(503, "try again", 1)
+            return refusal or error_answer(503, "try again", 1)
         ahead = len(self._queue) / self._client.write_rate
         if len(self._queue) >= MOST_WAITING or ahead > WRITE_WAIT.total_seconds():
             # It would not be committed before its user gives up: say so now, not then.
-            return problem(429, "too many submissions", max(1, math.ceil(ahead - WRITE_WAIT.total_seconds())))
+            return error_answer(429, "too many submissions", max(1, math.ceil(ahead - WRITE_WAIT.total_seconds())))
         return await self._accept(spec)
 
     def _check(self, body: Any) -> tuple[JobSpec | None, Answer | None]:
@@ -177,12 +177,12 @@
             spec = messages.parse_job(body)
         except Malformed as error:
             log.info("malformed submission: %s", error)
-            return None, problem(400, str(error))
+            return None, error_answer(400, str(error))
         types = self.types()
         if not types:
-            return None, problem(503, "machine types are not known yet", 1)
-        reason = verdict(spec, self._teams, types)
-        return (spec, None) if reason is None else (None, problem(422, reason))
+            return None, error_answer(503, "machine types are not known yet", 1)
+        reason = rejection_reason(spec, self._teams, types)
+        return (spec, None) if reason is None else (None, error_answer(422, reason))
 
     async def _accept(self, spec: JobSpec) -> Answer:
         record = JobRecord(spec=spec, status=JobStatus.PENDING, submitted=self._clock.today().timestamp())
@@ -194,12 +194,12 @@
         except TimeoutError:
             fresh = None
         if fresh is None:
-            return problem(503, "not accepted yet", 1)
+            return error_answer(503, "not accepted yet", 1)
         if fresh:
             log.debug("accepted %s %s %s tasks=%d", spec.job, spec.jobclass, spec.image, spec.tasks)
             return self._state(201, spec.job, JobStatus.PENDING)
         known = self._view.status_of(spec.job)
-        return self._state(200, spec.job, known) if known is not None else problem(503, "try again", 1)
+        return self._state(200, spec.job, known) if known is not None else error_answer(503, "try again", 1)
 
     async def run_submissions(self) -> None:
         """Commits what has gathered, several records a transaction."""
@@ -230,7 +230,7 @@
                 # Known already (a repeat, or our own write whose answer was lost).
                 known = {key[len(records.JOBS) :] for key in conflict.failed}
                 for job in known if tries else ():
-                    self._claims.accepted(job)
+                    self._claims.add_accepted(job)
                 seen = await self._view.barrier(timedelta(seconds=1))
                 for waiting in batch:
                     if waiting.record.spec.job in known and not waiting.answer.done():
@@ -239,14 +239,14 @@
                 if not unique or not known:
                     break
                 continue
-            except (Unavailable, LeaseGone):
+            except (Unavailable, LeaseExpired):
                 break
-            except Unknown:
+            except OutcomeUnknown:
                 continue  # conditional: if it was applied, the repeat shows it
             for put in puts:
                 self._view.apply(put.key, bytes(put.value), version)
             for job in unique:
-                self._claims.accepted(job)
+                self._claims.add_accepted(job)
             for waiting in batch:
                 if waiting.record.spec.job in unique and not waiting.answer.done():
                     waiting.answer.set_result(waiting is unique[waiting.record.spec.job])
@@ -257,20 +257,20 @@
 
     # -- questions ------------------------------------------------------------
 
-    def ask(self, job: str) -> Answer | asyncio.Future[Answer]:
+    def status(self, job: str) -> Answer | asyncio.Future[Answer]:
         """How a job fares, as a read of the state service shows that is sent after the question came.
 
         Polls are a quarter of all requests on kerlann-fonts-fleet: they share the next read, and
         have neither a task nor a timer of their own.
         """
         if not messages.JOB_ID.fullmatch(job):
-            return problem(404, "no such job")
+            return error_answer(404, "no such job")
         if job in self._view.final:
             return self._tell(job)  # that changes no more
         if not self._has_state():
-            return problem(503, "no state service", 1)
+            return error_answer(503, "no state service", 1)
         if job in self._view.unreadable:
-            return UNREADABLE
+            return RECORD_UNREADABLE
         question = _Question(job, self._clock.now() + POLL_WAIT)
         self._questions.append(question)
         self._asked.set()
@@ -281,7 +281,7 @@
         if not read.cancelled() and not question.answer.done():
             question.answer.set_result(self._tell(question.job))
 
-    async def run_questions(self) -> None:
+    async def run_status_requests(self) -> None:
         """Answers those for which no read came in time."""
         while True:
             await self._asked.wait()
@@ -292,7 +292,7 @@
                 while self._questions and (self._questions[0].answer.done() or self._questions[0].due <= now):
                     question = self._questions.popleft()
                     if not question.answer.done():
-                        question.answer.set_result(problem(503, "no state service", 1))
+                        question.answer.set_result(error_answer(503, "no state service", 1))
 
     def _tell(self, job: str) -> Answer:
         final = self._view.final.get(job)
@@ -301,7 +301,7 @@
             return Answer(200, messages.encode(JobView(job, final.status, done, 0)))
         entry = self._view.jobs.get(job)
         if entry is None:
-            return problem(404, "no such job")
+            return error_answer(404, "no such job")
         running = self.running(job)
         status = JobStatus.RUNNING if running else JobStatus.PENDING
         return Answer(200, messages.encode(JobView(job, status, len(entry.finished), running)))
@@ -310,7 +310,7 @@
 
     async def cancel(self, job: str) -> Answer:
         if not messages.JOB_ID.fullmatch(job):
-            return problem(404, "no such job")
+            return error_answer(404, "no such job")
         deadline = self._clock.now() + WRITE_WAIT
         while True:
             final = self._view.final.get(job)
@@ -319,26 +319,26 @@
             if not self._has_state() or self._clock.now() >= deadline:
                 break
             if job in self._view.unreadable:
-                return UNREADABLE
+                return RECORD_UNREADABLE
             entry = self._view.jobs.get(job)
             if entry is None:
                 if not await self._view.barrier(POLL_WAIT):
                     break
                 if self._view.status_of(job) is None:
-                    return problem(404, "no such job")
+                    return error_answer(404, "no such job")
                 continue
             put = Put(records.job_key(job), records.pack(cancelled(entry)))
             try:
                 version = await self._client.commit(
                     Transaction([KeyVersion(put.key, entry.version)], [put]), Urgency.USER
                 )
-            except (Conflict, Unknown):
+            except (Conflict, OutcomeUnknown):
                 await self._view.barrier(timedelta(seconds=1))
                 continue
-            except (Unavailable, LeaseGone):
+            except (Unavailable, LeaseExpired):
                 break
             self._view.apply(put.key, bytes(put.value), version)
-        return problem(503, "not cancelled yet", 1)
+        return error_answer(503, "not cancelled yet", 1)
 
     def _over(self, job: str, final: FinalRecord) -> Answer:
         """What a cancellation is answered; whoever confirms one tells the peers.
@@ -348,7 +348,7 @@
         """
         if final.status is JobStatus.CANCELLED:
             record = JobRecord(final.footprint.spec(job, final.tasks), JobStatus.CANCELLED)
-            self.tell_cancelled(job, final.version, record)
+            self.notify_cancelled(job, final.version, record)
         return self._state(200, job, final.status)
 
     def _state(self, status: int, job: str, known: JobStatus) -> Answer:
--- a/gingerspar/coordination/jobs/reconciler.py
+++ b/gingerspar/coordination/jobs/reconciler.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from gingerspar.coordination.jobs.claims import Change, released
+from gingerspar.coordination.jobs.claims import RecordChange, released
 from gingerspar.coordination.membership.session import Session
 from gingerspar.protocol.messages import JobStatus, KeyVersion, Put, Transaction
 from gingerspar.storage import records
 from gingerspar.storage.budgets import Urgency
-from gingerspar.storage.client import Conflict, LeaseGone, StateClient, Unavailable, Unknown
+from gingerspar.storage.client import Conflict, LeaseExpired, OutcomeUnknown, StateClient, Unavailable
 from gingerspar.storage.view import WatchedView
 
 log = logging.getLogger(__name__)
@@ -19,7 +19,7 @@
 FRESH = timedelta(seconds=1)
 
 
-def lapsed(view: WatchedView, most: int) -> list[Change]:
+def lapsed(view: WatchedView, most: int) -> list[RecordChange]:
     """Running records whose claimant's session is over; the attempt stays as it is."""
     found = [
         entry
@@ -30,7 +30,7 @@
     ]
     # The most urgent ones first: they are claimed again in that order too.
     found.sort(key=lambda entry: entry.record.order)
-    return [Change(entry.record.spec.job, entry.version, released(entry)) for entry in found[:most]]
+    return [RecordChange(entry.record.spec.job, entry.version, released(entry)) for entry in found[:most]]
 
 
 class Reconciler:
@@ -54,15 +54,15 @@
             if batch:
                 await self._sweep(batch)
 
-    async def _sweep(self, batch: list[Change]) -> None:
+    async def _sweep(self, batch: list[RecordChange]) -> None:
         conditions = [
             self._session.condition(),
-            *(KeyVersion(records.job_key(change.job), change.base) for change in batch),
+            *(KeyVersion(records.job_key(change.job), change.base_version) for change in batch),
         ]
         puts = [Put(records.job_key(change.job), records.pack(change.record)) for change in batch]
         try:
             version = await self._client.commit(Transaction(conditions, [*puts]), Urgency.BACKGROUND)
-        except (Conflict, LeaseGone, Unavailable, Unknown) as error:
+        except (Conflict, LeaseExpired, Unavailable, OutcomeUnknown) as error:
             log.debug("sweep: %r", error)
             return
         for put in puts:
--- a/gingerspar/coordination/jobs/relay.py
+++ b/gingerspar/coordination/jobs/relay.py
@@ -5,10 +5,10 @@
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
 
-from gingerspar.coordination.jobs.job_api import problem
+from gingerspar.coordination.jobs.job_api import error_answer
 from gingerspar.protocol import peers
 from gingerspar.transport.peerlink import PeerLink
-from gingerspar.transport.server import Answer, settled
+from gingerspar.transport.server import Answer, resolve_answer
 
 RELAY_WAIT = timedelta(seconds=1.7)  # pollers wait 2 s
 
@@ -17,7 +17,7 @@
 Serve = Callable[[str, str, bytes], Answer | Awaitable[Answer]]
 
 
-class Relays:
+class RequestRelay:
     """Both ends: what this node asks of its peers, and what they ask of it."""
 
     def __init__(self, node: str, link: PeerLink, serve: Serve) -> None:
@@ -30,26 +30,26 @@
         self._waiting: dict[int, asyncio.Future[Answer]] = {}
         self._serving: set[asyncio.Task[None]] = set()
 
-    async def ask(self, peer: str, method: str, path: str, body: bytes) -> Answer:
+    async def forward(self, peer: str, method: str, path: str, body: bytes) -> Answer:
         """Asks the peer over the link; the load balancer takes seconds to steer users elsewhere."""
         try:
             text = body.decode()
         except UnicodeDecodeError:
-            return problem(400, "not JSON")
+            return error_answer(400, "not JSON")
         self._asked += 1
         number = self._asked
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._waiting[number] = future
         try:
             if not self._link.send(peer, peers.pack(peers.Relay(self._node, number, method, path, text))):
-                return problem(503, "no state service", 1)
+                return error_answer(503, "no state service", 1)
             return await asyncio.wait_for(future, RELAY_WAIT.total_seconds())
         except TimeoutError:
-            return problem(503, "no state service", 1)
+            return error_answer(503, "no state service", 1)
         finally:
             del self._waiting[number]
 
-    def answered(self, message: peers.Relayed) -> None:
+    def handle_answer(self, message: peers.Relayed) -> None:
         future = self._waiting.get(message.number)
         if future is not None and not future.done():
             headers = {} if message.retry_after is None else {"Retry-After": message.retry_after}
@@ -62,7 +62,7 @@
 
     async def _answer(self, relay: peers.Relay) -> None:
         # Served here or not at all: a relayed request is never relayed again.
-        answer = await settled(self._serve(relay.method, relay.path, relay.body.encode()))
+        answer = await resolve_answer(self._serve(relay.method, relay.path, relay.body.encode()))
         message = peers.Relayed(
             self._node, relay.number, answer.status, answer.body.decode(), answer.headers.get("Retry-After")
         )
--- a/gingerspar/coordination/leader/dispatcher.py
+++ b/gingerspar/coordination/leader/dispatcher.py
@@ -9,11 +9,17 @@
 from collections.abc import Callable, Iterable
 from datetime import datetime, timedelta
 
-from gingerspar.coordination.cluster.cluster_state import NO_GRACE, Book
-from gingerspar.coordination.cluster.delivery import TOLD_FOR, HearingState, gave_up
-from gingerspar.coordination.cluster.job_runs import FIRST_BACKOFF, GangState, JobRun, recordless, stranger
-from gingerspar.coordination.cluster.machine import REPORTED, Machine, MachineState, Placement, TaskState
-from gingerspar.coordination.membership.term import DRIFT, settle_span
+from gingerspar.coordination.cluster.cluster_state import NO_GRACE_PERIOD, ClusterState
+from gingerspar.coordination.cluster.delivery import TOKEN_RETRY_LIMIT, DeliveryState, tried_other_controllers
+from gingerspar.coordination.cluster.job_runs import (
+    FIRST_BACKOFF,
+    GangState,
+    JobRun,
+    run_of_ended_job,
+    unknown_job_spec,
+)
+from gingerspar.coordination.cluster.machine import TASK_STATE_BY_STATUS, Machine, MachineState, Placement, TaskState
+from gingerspar.coordination.membership.term import DRIFT, settling_time
 from gingerspar.coordination.placement.placer import Placer
 from gingerspar.protocol.messages import (
     Cause,
@@ -41,11 +47,11 @@
 MOST_COMMANDS = 800  # in one answer, which has to stay below 64 KiB; the longest takes 75 bytes or so
 
 
-class Stale(Exception):
+class StaleReport(Exception):
     """The report is older than what is known, or of a session that is over."""
 
 
-class Outdated(Exception):
+class NewerToken(Exception):
     """The worker has seen a higher token: this node no longer commands."""
 
 
@@ -55,7 +61,7 @@
     def __init__(
         self,
         term: int,
-        raised: timedelta,
+        raised_at: timedelta,
         workers: WorkerFacts,
         teams: Iterable[TeamFacts],
         *,
@@ -66,33 +72,35 @@
     ) -> None:
         self.term = term
         self._nodes = nodes
-        self.raised = raised
-        self.book = Book(term, teams, objectives)
+        self.raised_at = raised_at
+        self.cluster_state = ClusterState(term, teams, objectives)
         self._today = today
-        self.pool = self.book.pool
-        self.runs = self.book.runs
-        self.backlog = self.book.backlog
+        self.pool = self.cluster_state.pool
+        self.runs = self.cluster_state.runs
+        self.backlog = self.cluster_state.backlog
         self.workers = workers
         self._lease = workers.lease * (1 + 4 * DRIFT) + LEASE_MARGIN
-        self._settled_by = raised + settle_span(workers)
-        self._placer = Placer(self.book)
+        self._settled_by = raised_at + settling_time(workers)
+        self._placer = Placer(self.cluster_state)
         self._to_drain: dict[str, Machine] = {}  # the cloud takes them away
-        self.stopping: dict[str, Machine] = {}  # with stops that have not been told directly yet
-        self.dirty = True
+        self.pending_direct_stops: dict[str, Machine] = {}  # with stops that have not been told directly yet
+        self.needs_placement = True
         self._wake: Callable[[Machine], None] = lambda machine: None
         self.final_spec: Callable[[str], JobSpec | None] = lambda job: None
-        self.is_over: Callable[[str], bool] = lambda job: False  # done or cancelled, by the records
-        self.finish_wanted: Callable[[], None] = lambda: None
-        self.book.wake = self._wanted_on
+        self.is_ended: Callable[[str], bool] = lambda job: False  # done or cancelled, by the records
+        self.on_unrecorded: Callable[[], None] = lambda: None
+        self.cluster_state.notify_machine = self._wanted_on
         for name, type_name, zone, spot in roster:
-            self.book.add_machine(name, type_name, zone, spot, raised, MachineState.UNSETTLED, rostered=True)
+            self.cluster_state.add_machine(
+                name, type_name, zone, spot, raised_at, MachineState.UNSETTLED, rostered=True
+            )
 
     def on_wake(self, wake: Callable[[Machine], None]) -> None:
         """``wake`` is called for each machine that a command waits for."""
         self._wake = wake
 
     def _wanted_on(self, machine: Machine) -> None:
-        self.stopping[machine.name] = machine
+        self.pending_direct_stops[machine.name] = machine
         self._wake(machine)
 
     @property
@@ -102,39 +110,39 @@
     # -- what comes in: machine types and records -----------------------------
 
     def set_types(self, types: Iterable[MachineType]) -> None:
-        self.book.set_types(types)
-        self.dirty = True
+        self.cluster_state.set_types(types)
+        self.needs_placement = True
 
     def set_record(
         self, job: str, record: JobRecord | None, finished: TaskSet | None, now: timedelta, *, done: bool = False
     ) -> None:
         """A new version of a record; None: the job is over, ``done`` or cancelled."""
         run = self.runs.get(job)
-        self.dirty = True
+        self.needs_placement = True
         if record is None or finished is None:
-            if run is not None and not run.over:
-                self.book.services.over(run.spec.jobclass, done)
+            if run is not None and not run.ended:
+                self.cluster_state.service_levels.job_ended(run.spec.jobclass, done)
             if run is not None:
-                self.book.end(run, now)
+                self.cluster_state.end_run(run, now)
             return
-        if run is None or run.over:
+        if run is None or run.ended:
             found = self._begin(record, finished, now)
             if run is not None:
-                found.places, found.running, found.used_attempt = run.places, run.running, run.used_attempt
+                found.places, found.running, found.max_used_attempt = run.places, run.running, run.max_used_attempt
                 found.open -= set(run.places)
             run = self.runs[job] = found
         run.record = record
         if record.claim_term < self.term:
             # Claimed under an older leader, who may have started this attempt.
-            run.used_attempt = max(run.used_attempt, record.attempt)
-        for number in finished.beyond(run.saved):
+            run.max_used_attempt = max(run.max_used_attempt, record.attempt)
+        for number in finished.difference(run.recorded):
             run.finished.add(number)
-            run.saved.add(number)
-            run.unsaved.discard(number)
+            run.recorded.add(number)
+            run.unrecorded.discard(number)
             run.open.discard(number)
-        if not run.unsaved:
-            self.book.unsaved.pop(job, None)
-        self.backlog.refile(run, now, fresh=True)
+        if not run.unrecorded:
+            self.cluster_state.unrecorded.pop(job, None)
+        self.backlog.update(run, now, fresh=True)
 
     def _begin(self, record: JobRecord, finished: TaskSet, now: timedelta) -> JobRun:
         run = JobRun(record.spec, record, finished.copy(), finished.copy(), submitted=now)
@@ -142,43 +150,43 @@
             age = self._today().timestamp() - record.submitted
             run.submitted = now - timedelta(seconds=max(age, 0.0))
         run.open.update(finished.missing())
-        run.begun = len(finished) > 0
-        self.book.largest.add(run.spec)
-        run.order = self.book.order(run, now)
-        self.book.estimates.job(run.spec)
+        run.has_started = len(finished) > 0
+        self.cluster_state.largest_jobs.add(run.spec)
+        run.order = self.cluster_state.order_key(run, now)
+        self.cluster_state.estimates.job(run.spec)
         if run.spec.gpus:
-            self.book.accelerated[run.spec.jobclass] = run.spec
+            self.cluster_state.accelerator_specs[run.spec.jobclass] = run.spec
         return run
 
     # -- reports --------------------------------------------------------------
 
-    def report(self, report: Report, now: timedelta) -> Machine:
-        """Takes a report in; raises ``Stale`` or ``Outdated`` if it must not be answered.
+    def handle_report(self, report: Report, now: timedelta) -> Machine:
+        """Takes a report in; raises ``StaleReport`` or ``NewerToken`` if it must not be answered.
 
         ``Malformed``, before anything has changed, if its task list can't be read.
         """
         if report.token > self.term:
-            raise Outdated
+            raise NewerToken
         machine = self.machines.get(report.machine)
         tasks = bytes(report.tasks)
-        listed = report.listed() if machine is None or tasks != machine.tasks_seen else None
+        listed = report.task_list() if machine is None or tasks != machine.tasks_seen else None
         if machine is None:
             if report.token >= self.term:
                 # It has heard of this term, so this leader knew it, and has given it back since: a copy.
                 # The task that it shows would be taken to run there for the length of a lease.
-                raise Stale
+                raise StaleReport
             # Unexpected, yet not on the roster: no older leader can have used it.
-            machine = self.book.add_machine(
+            machine = self.cluster_state.add_machine(
                 report.machine, report.type, report.zone, report.spot, now, MachineState.BOOTING
             )
         if machine.state in (MachineState.RETURNING, MachineState.GONE):
-            raise Stale
-        if report.session < machine.least_session or (report.session, report.seq) <= (machine.session, machine.seq):
-            raise Stale
-        if report.token < self.term and report.session == machine.shown:
+            raise StaleReport
+        if report.session < machine.min_session or (report.session, report.seq) <= (machine.session, machine.seq):
+            raise StaleReport
+        if report.token < self.term and report.session == machine.token_session:
             # A worker forgets no token: it has ended, is back, and numbers its reports anew. What its former life
             # sent and is still under way can't be told from what it says itself, so its lease is waited for.
-            raise Stale
+            raise StaleReport
         heard = self._heard(machine, report, now)
         machine.session, machine.seq = report.session, report.seq
         machine.address = report.address
@@ -186,38 +194,38 @@
             # It may yet take an older leader's answer; its next report tells what is on it. One that
             # doesn't hear, or whose reports are late copies, would stay so for good, and all that may
             # run on it with it: it is told for a while only, and then its lease is waited for.
-            if machine.told is None:
-                machine.told = now
-            elif now - machine.told > TOLD_FOR:
-                raise Stale
+            if machine.token_sent_at is None:
+                machine.token_sent_at = now
+            elif now - machine.token_sent_at > TOKEN_RETRY_LIMIT:
+                raise StaleReport
             machine.answered = now
-            if machine.state is MachineState.BOOTING and machine.rostered and report.listed():
+            if machine.state is MachineState.BOOTING and machine.rostered and report.task_list():
                 machine.move(MachineState.UNSETTLED)
             return machine
-        machine.told = None
-        machine.shown = report.session
+        machine.token_sent_at = None
+        machine.token_session = report.session
         machine.answered = now
         if machine.state in (MachineState.BOOTING, MachineState.UNSETTLED, MachineState.LOST):
             log.info("machine %s %s -> ready", machine.name, machine.state.value)
             machine.move(MachineState.READY)
             machine.idle_since = None
-            self.dirty = True
+            self.needs_placement = True
         if listed is not None:
             self._take_tasks(machine, report, listed, now)
             machine.tasks_seen = tasks
-            self.dirty = True
+            self.needs_placement = True
         if heard is not None:
             self._judge(machine, heard, now)
         if report.notice_s is not None:
             machine.notice = now + timedelta(seconds=report.notice_s)
             self._to_drain[machine.name] = machine
             if machine.state is MachineState.READY:
-                self.leave(machine, "spot notice")
+                self.drain_machine(machine, "spot notice")
         if not machine.live and machine.idle_since is None:
             machine.idle_since = now
         return machine
 
-    def told_directly(self, machine: Machine, report: Report) -> None:
+    def notified_directly(self, machine: Machine, report: Report) -> None:
         """A machine that has not come by itself has shown this report, and is now told of the token directly.
 
         From then on its reports show the token. One that arrives late must not pass for the first word of the
@@ -233,21 +241,21 @@
         """Whether the worker has heard the answer to its report before; None: there was none to hear."""
         if machine.answered is None:
             return None
-        if machine.told is not None or report.token < self.term:
+        if machine.token_sent_at is not None or report.token < self.term:
             return report.token >= self.term  # it was told of the term, and shows that or not
         # A new session: its lease has run out, unless it was restarted just now.
         ticks = self._nodes if report.session > machine.session else report.seq - machine.seq
-        return not gave_up(now - machine.answered, ticks, self._nodes, self.workers.report)
+        return not tried_other_controllers(now - machine.answered, ticks, self._nodes, self.workers.report)
 
     def _judge(self, machine: Machine, heard: bool, now: timedelta) -> None:
-        machine.judge(heard)
+        machine.record_delivery(heard)
         if heard:
             return
         for placement in list(machine.live.values()):
             if placement.state is TaskState.PLANNED:
-                self.book.gone(placement, now)  # its `run` would be lost as well
-        if machine.hearing.state is HearingState.DEAF and machine.state is MachineState.READY:
-            self.leave(machine, "it hears no answer")
+                self.cluster_state.task_gone(placement, now)  # its `run` would be lost as well
+        if machine.delivery.state is DeliveryState.FAILED and machine.state is MachineState.READY:
+            self.drain_machine(machine, "it hears no answer")
 
     def _take_tasks(self, machine: Machine, report: Report, listed: list[TaskReport], now: timedelta) -> None:
         # Names are taken apart only for what is not known yet or has ended: most of what a
@@ -265,32 +273,32 @@
                 if (report.session, report.seq) > placement.answered:
                     # The answer that carried `run` was dropped: a later report was sent
                     # since, and answers to earlier ones have no effect any more.
-                    if placement.stop is not None:
-                        self.book.gone(placement, now)
+                    if placement.stop_grace is not None:
+                        self.cluster_state.task_gone(placement, now)
                     elif placement.live:
-                        self.book.move(placement, TaskState.PLANNED, now)
+                        self.cluster_state.move_task(placement, TaskState.PLANNED, now)
             elif placement.state is not TaskState.PLANNED:
-                self.book.gone(placement, now)
-        ended, machine.ended = machine.ended, {}
-        machine.exited = {}
+                self.cluster_state.task_gone(placement, now)
+        ended, machine.ended_placements = machine.ended_placements, {}
+        machine.exited_placements = {}
         strangers: list[tuple[tuple[str, int, int], TaskReport]] = []
         for name, task in reported.items():
             exited = task.status is TaskStatus.EXITED
             if exited and name in ended:
                 # Machines with short tasks list eight finishes for each that is new (vatuloa-grep-fleet loss).
-                machine.ended[name] = ended[name]
-                machine.exited[ended[name]] = task.cause
+                machine.ended_placements[name] = ended[name]
+                machine.exited_placements[ended[name]] = task.cause
                 continue
             try:
-                job, number = task.where()
+                job, number = task.task_id()
             except ValueError:
                 continue
             key = (job, number, task.attempt)
             if exited:
-                machine.exited[key] = task.cause
+                machine.exited_placements[key] = task.cause
                 run = self.runs.get(job)
-                if run is not None and not run.over:
-                    machine.ended[name] = key
+                if run is not None and not run.ended:
+                    machine.ended_placements[name] = key
             if key not in machine.live:
                 strangers.append((key, task))
         for key, task in strangers:
@@ -300,10 +308,10 @@
         if task.status is TaskStatus.EXITED:
             self._exited(placement, task, now)
             return
-        state = REPORTED[task.status]
+        state = TASK_STATE_BY_STATUS[task.status]
         if placement.state is state or not placement.live:
             return
-        self.book.move(placement, state, now)
+        self.cluster_state.move_task(placement, state, now)
         if state in (TaskState.RUNNING, TaskState.WAITING):
             placement.machine.remember_image(placement.spec.image, placement.spec.image_gb)
 
@@ -318,21 +326,21 @@
         if run is None:
             # A job that is over, or that nobody knows. The task is stopped, and until it has
             # ended it counts against its team's limit like any other.
-            run = self.runs.setdefault(job, recordless(self.final_spec(job) or stranger(job)))
-        placement = Placement(run.spec, number, attempt, machine, REPORTED[task.status], now)
+            run = self.runs.setdefault(job, run_of_ended_job(self.final_spec(job) or unknown_job_spec(job)))
+        placement = Placement(run.spec, number, attempt, machine, TASK_STATE_BY_STATUS[task.status], now)
         if task.status is TaskStatus.RUNNING:
             placement.running_since = now
-        self.book.enter(run, placement)
-        run.used_attempt = max(run.used_attempt, attempt)
+        self.cluster_state.add_placement(run, placement)
+        run.max_used_attempt = max(run.max_used_attempt, attempt)
         doubled = len(run.places[number]) > 1
-        if run.over or doubled or number in run.finished or number >= run.spec.tasks:
+        if run.ended or doubled or number in run.finished or number >= run.spec.tasks:
             log.info("stopping %s attempt %d found on %s", placement.name, attempt, machine.name)
-            self.book.stop(placement, NO_GRACE, now)
+            self.cluster_state.stop_task(placement, NO_GRACE_PERIOD, now)
             return
         log.debug("adopted %s attempt %d on %s", placement.name, attempt, machine.name)
-        if run.gangs:
-            run.set_gang(GangState.PLACED)
-        self.backlog.refile(run, now)
+        if run.is_gang:
+            run.set_gang_state(GangState.PLACED)
+        self.backlog.update(run, now)
 
     def _exited(self, placement: Placement, task: TaskReport, now: timedelta) -> None:
         if not placement.live:
@@ -340,16 +348,16 @@
         cause = task.cause
         machine = placement.machine
         placement.cause = cause
-        run = self.book.exited(placement, now)
+        run = self.cluster_state.task_exited(placement, now)
         if cause is Cause.DONE:
             if placement.running_since is not None:
-                self.book.estimates.task(placement.spec, now - placement.running_since)
+                self.cluster_state.estimates.task(placement.spec, now - placement.running_since)
             machine.remember_image(placement.spec.image, placement.spec.image_gb)
             machine.errors.clear()
             failed_on = [self.machines[name] for name in run.failures if name in self.machines]
             run.failures.clear()
             run.backoff = FIRST_BACKOFF
-            run.ran_well = True
+            run.has_succeeded = True
             for other in failed_on:
                 self._blame(other, now)  # it was not the job, as is known now
             self._done(run, placement.number, now)
@@ -360,12 +368,12 @@
             self._failed(run, placement, now)
         elif cause in (Cause.FULL, Cause.BUSY, Cause.UNKNOWN):
             run.not_before = now + FIRST_BACKOFF
-        self.book.gang_lost_one(run, now)
+        self.cluster_state.gang_task_lost(run, now)
 
     def _done(self, run: JobRun, number: int, now: timedelta) -> None:
-        if self.book.done(run, number):
-            self.finish_wanted()
-        self.backlog.refile(run, now)
+        if self.cluster_state.task_done(run, number):
+            self.on_unrecorded()
+        self.backlog.update(run, now)
 
     def _failed(self, run: JobRun, placement: Placement, now: timedelta) -> None:
         """Blames the machine, or the job where it fails wherever it runs.
@@ -378,8 +386,8 @@
         machine.errors[job] = machine.errors.get(job, 0) + 1
         run.failures[machine.name] = run.failures.get(machine.name, 0) + 1
         if self._runs_elsewhere(run, placement, now):
-            run.ran_well = True
-        if len(run.failures) >= SAME_FAULT and not run.ran_well:
+            run.has_succeeded = True
+        if len(run.failures) >= SAME_FAULT and not run.has_succeeded:
             run.not_before = now + run.backoff
             run.backoff = min(run.backoff * 2, MOST_BACKOFF)
             for other in self.pool:
@@ -404,18 +412,18 @@
             return
         runs = [(self.runs.get(job), count) for job, count in machine.errors.items()]
         if len(runs) < SICK_JOBS and not any(
-            run is not None and run.ran_well and count >= SICK_TASKS for run, count in runs
+            run is not None and run.has_succeeded and count >= SICK_TASKS for run, count in runs
         ):
             return
-        self.leave(machine, "fails its tasks")
+        self.drain_machine(machine, "fails its tasks")
         for placement in list(machine.live.values()):
-            self.book.stop(placement, NO_GRACE, now)
+            self.cluster_state.stop_task(placement, NO_GRACE_PERIOD, now)
 
-    def leave(self, machine: Machine, why: str) -> None:
+    def drain_machine(self, machine: Machine, why: str) -> None:
         log.info("machine %s leaves: %s", machine.name, why)
-        machine.why_leaving = why
+        machine.leave_reason = why
         machine.move(MachineState.LEAVING)
-        self.dirty = True
+        self.needs_placement = True
 
     # -- commands -------------------------------------------------------------
 
@@ -423,7 +431,7 @@
         if not machine.settled:
             return False
         return any(
-            placement.state is TaskState.PLANNED or (placement.stop is not None and not placement.stop_sent)
+            placement.state is TaskState.PLANNED or (placement.stop_grace is not None and not placement.stop_sent)
             for placement in machine.live.values()
         )
 
@@ -436,14 +444,14 @@
         """
         found: list[Command] = []
         for placement in machine.live.values():
-            if placement.stop is None or placement.told_directly == placement.stop:
+            if placement.stop_grace is None or placement.direct_stop_grace == placement.stop_grace:
                 continue
             if placement.state not in (TaskState.PLANNED, TaskState.SENT):
-                placement.told_directly = placement.stop
+                placement.direct_stop_grace = placement.stop_grace
                 found.append(_stop(placement))
         return found
 
-    def commands(self, machine: Machine, report: Report, now: timedelta) -> list[Command]:
+    def take_commands(self, machine: Machine, report: Report, now: timedelta) -> list[Command]:
         """What the answer to this report carries; `run` goes nowhere else.
 
         Any answer with the token renews the worker's lease, so each carries the stops of all that the report
@@ -453,24 +461,24 @@
             return self._stops_of_what_is_over(report)
         if not machine.settled:
             return []
-        stopping = [p for p in machine.live.values() if p.stop is not None and p.state is not TaskState.PLANNED]
-        over = [placement for placement in stopping if self.runs[placement.job].over]
+        stopping = [p for p in machine.live.values() if p.stop_grace is not None and p.state is not TaskState.PLANNED]
+        over = [placement for placement in stopping if self.runs[placement.job].ended]
         found = [self._answer_stop(placement) for placement in over[:MOST_COMMANDS]]
-        for (job, number, attempt), cause in machine.exited.items():
+        for (job, number, attempt), cause in machine.exited_placements.items():
             run = self.runs.get(job)
-            keep = cause is Cause.DONE and run is not None and not run.over and number in run.unsaved
+            keep = cause is Cause.DONE and run is not None and not run.ended and number in run.unrecorded
             if not keep and len(found) < MOST_COMMANDS:
                 found.append(Command(Verb.FORGET, f"{job}/{number}", attempt))
         for placement in list(machine.live.values()):
             if len(found) >= MOST_COMMANDS:
                 break
             if placement.state is TaskState.PLANNED:
-                self.book.move(placement, TaskState.SENT, now)
+                self.cluster_state.move_task(placement, TaskState.SENT, now)
                 placement.answered = (report.session, report.seq)
                 machine.tasks_seen = None  # the next report tells whether it arrived
                 log.debug("run %s attempt %d on %s", placement.name, placement.attempt, machine.name)
                 found.append(Command(Verb.RUN, placement.name, placement.attempt))
-            elif placement.stop is not None and placement not in over:
+            elif placement.stop_grace is not None and placement not in over:
                 found.append(self._answer_stop(placement))
         return found
 
@@ -482,24 +490,24 @@
     def _stops_of_what_is_over(self, report: Report) -> list[Command]:
         """For a worker that is told of the token: what it lists may yet change, but not that its job is over."""
         found: list[Command] = []
-        for task in report.listed():
+        for task in report.task_list():
             if task.status is TaskStatus.EXITED or len(found) >= MOST_COMMANDS:
                 continue
             try:
-                job, _ = task.where()
+                job, _ = task.task_id()
             except ValueError:
                 continue
-            if self.is_over(job):
-                found.append(Command(Verb.STOP, task.task, task.attempt, NO_GRACE.total_seconds()))
+            if self.is_ended(job):
+                found.append(Command(Verb.STOP, task.task, task.attempt, NO_GRACE_PERIOD.total_seconds()))
         return found
 
     # -- time -----------------------------------------------------------------
 
-    def place(self, now: timedelta) -> None:
-        """Gives places to open tasks; ``dirty`` stays set when some are still to be looked at."""
-        self.dirty = False
+    def place_tasks(self, now: timedelta) -> None:
+        """Gives places to open tasks; ``needs_placement`` stays set when some are still to be looked at."""
+        self.needs_placement = False
         if not self._placer.place(now):
-            self.dirty = True
+            self.needs_placement = True
 
     def tick(self, now: timedelta, read: timedelta) -> None:
         """Leases that ran out, notices that come due, gangs that came back incomplete.
@@ -510,18 +518,18 @@
         machines of the other for lost and started their tasks again, while they ran on under its successor.
         A read sent after the lease's end that shows this term still shows that there was no successor before.
         """
-        for machine in self.pool.among(MachineState.READY, MachineState.LEAVING):
+        for machine in self.pool.in_states(MachineState.READY, MachineState.LEAVING):
             if machine.answered is not None and read - machine.answered > self._lease:
-                self.lost(machine, "silent for its lease", now)
-        unsettled = self.pool.among(MachineState.UNSETTLED)
+                self.machine_lost(machine, "silent for its lease", now)
+        unsettled = self.pool.in_states(MachineState.UNSETTLED)
         for machine in unsettled:
             heard = machine.answered + self._lease if machine.answered is not None else self._settled_by
             if read > max(heard, self._settled_by):
-                self.lost(machine, "silent since the term began", now)
-        for machine in self.pool.among(MachineState.BOOTING):
+                self.machine_lost(machine, "silent since the term began", now)
+        for machine in self.pool.in_states(MachineState.BOOTING):
             if machine.answered is not None and read - machine.answered > self._lease:
                 # Deaf, or never there: late copies of what a machine said that was given back.
-                self.lost(machine, "it was answered and doesn't show it", now)
+                self.machine_lost(machine, "it was answered and doesn't show it", now)
         if not unsettled:
             self._mend_gangs(now)
         self._drain(now)
@@ -529,10 +537,10 @@
     def _mend_gangs(self, now: timedelta) -> None:
         """Gangs of an older term of which not all tasks were found are stopped."""
         for run in list(self.runs.values()):
-            if run.gangs and not run.over and run.gang is GangState.PLACED and not run.finished.full:
+            if run.is_gang and not run.ended and run.gang_state is GangState.PLACED and not run.finished.full:
                 attempts = {placement.attempt for placement in run.live}
                 if len(run.places) < run.spec.tasks or len(attempts) > 1:
-                    self.book.gang_lost_one(run, now)
+                    self.cluster_state.gang_task_lost(run, now)
 
     def _drain(self, now: timedelta) -> None:
         """Saves what can be saved on machines that the cloud takes away."""
@@ -543,51 +551,51 @@
             left = machine.notice - now
             for placement in list(machine.live.values()):
                 spec = placement.spec
-                if placement.stop is None and spec.shape is Shape.SERVICE:
-                    self.book.stop(placement, spec.save_time, now)  # a replica gains nothing by staying
-                if placement.stop is not None or not spec.checkpoint_s:
+                if placement.stop_grace is None and spec.shape is Shape.SERVICE:
+                    self.cluster_state.stop_task(placement, spec.save_time, now)  # a replica gains nothing by staying
+                if placement.stop_grace is not None or not spec.checkpoint_s:
                     continue
                 # Late enough to get on, early enough for the command to arrive and the save to end.
                 if left <= spec.save_time + self.workers.report * 1.5 + timedelta(seconds=1):
                     grace = spec.save_time + timedelta(seconds=1)
                     run = self.runs[placement.job]
-                    if run.gangs:
-                        self.book.stop_run(run, grace, now)
+                    if run.is_gang:
+                        self.cluster_state.stop_run(run, grace, now)
                     else:
-                        self.book.stop(placement, grace, now)
+                        self.cluster_state.stop_task(placement, grace, now)
 
-    def lost(self, machine: Machine, why: str, now: timedelta) -> None:
+    def machine_lost(self, machine: Machine, why: str, now: timedelta) -> None:
         """Nothing runs there any more: its worker's lease is over, or the machine is."""
         log.info("machine %s lost: %s", machine.name, why)
         machine.move(MachineState.LOST)
-        machine.least_session = machine.session + 1
-        machine.told = None
-        machine.exited, machine.ended = {}, {}
+        machine.min_session = machine.session + 1
+        machine.token_sent_at = None
+        machine.exited_placements, machine.ended_placements = {}, {}
         machine.tasks_seen = None
-        self.book.clear_machine(machine, now)
-        self.dirty = True
+        self.cluster_state.clear_machine(machine, now)
+        self.needs_placement = True
 
-    def returned(self, machine: Machine, now: timedelta) -> None:
+    def machine_returned(self, machine: Machine, now: timedelta) -> None:
         """The cloud said 200: the machine and all on it are gone."""
-        self.book.remove_machine(machine, now)
-        self.stopping.pop(machine.name, None)
+        self.cluster_state.remove_machine(machine, now)
+        self.pending_direct_stops.pop(machine.name, None)
         self._to_drain.pop(machine.name, None)
-        self.dirty = True
+        self.needs_placement = True
 
     # -- for display ----------------------------------------------------------
 
     def summary(self) -> str:
         """One line on what is up, in use and waiting."""
-        claimed = [run for run in self.runs.values() if run.record.status is JobStatus.RUNNING and not run.over]
+        claimed = [run for run in self.runs.values() if run.record.status is JobStatus.RUNNING and not run.ended]
         up = Counter((machine.type, machine.zone, machine.spot, machine.state.value) for machine in self.pool)
         idle = Counter(
             (machine.type, machine.zone, machine.spot)
-            for machine in self.pool.among(MachineState.READY)
+            for machine in self.pool.in_states(MachineState.READY)
             if not machine.live
         )
         machines = " ".join(f"{_place(offer)}:{state}={count}" for (*offer, state), count in sorted(up.items()))
         idling = " ".join(f"{_place(offer)}={count}" for offer, count in sorted(idle.items()))
-        teams = " ".join(f"{name}={used.cpus:g}/{used.gpus:g}" for name, used in self.book.usage.items())
+        teams = " ".join(f"{name}={used.cpus:g}/{used.gpus:g}" for name, used in self.cluster_state.usage.items())
         waiting = Counter[str]()
         for run in self.backlog:
             waiting[f"{run.spec.jobclass}:{run.spec.shape.value}"] += len(run.open)
@@ -597,21 +605,21 @@
             f"tasks: {waits} teams: {teams} machines: {machines} idle: {idling}"
         )
 
-    def silent(self) -> list[Machine]:
+    def unreported_machines(self) -> list[Machine]:
         """Machines that may run what an older leader started and have not been heard in this term."""
-        return [machine for machine in self.pool.among(MachineState.UNSETTLED) if machine.answered is None]
+        return [machine for machine in self.pool.in_states(MachineState.UNSETTLED) if machine.answered is None]
 
     def running_counts(self) -> dict[str, int]:
-        return {job: run.running for job, run in self.runs.items() if run.running and not run.over}
+        return {job: run.running for job, run in self.runs.items() if run.running and not run.ended}
 
     def running_count(self, job: str) -> int:
         run = self.runs.get(job)
-        return run.running if run is not None and not run.over else 0
+        return run.running if run is not None and not run.ended else 0
 
 
 def _stop(placement: Placement) -> Command:
-    assert placement.stop is not None
-    return Command(Verb.STOP, placement.name, placement.attempt, placement.stop.total_seconds())
+    assert placement.stop_grace is not None
+    return Command(Verb.STOP, placement.name, placement.attempt, placement.stop_grace.total_seconds())
 
 
 def _place(offer: Iterable[object]) -> str:
