--- a/gingerspar/coordination/leader/leader_runtime.py
+++ b/gingerspar/coordination/leader/leader_runtime.py
@@ -13,11 +13,11 @@
 
 from gingerspar.coordination.cluster.machine import Machine, MachineState, Placement
 from gingerspar.coordination.cluster.pool import Offer
-from gingerspar.coordination.jobs.job_api import problem
-from gingerspar.coordination.leader.dispatcher import Dispatcher, Outdated, Stale
-from gingerspar.coordination.leader.load_monitor import DECIDING, PLANNING, Strain
+from gingerspar.coordination.jobs.job_api import error_answer
+from gingerspar.coordination.leader.dispatcher import Dispatcher, NewerToken, StaleReport
+from gingerspar.coordination.leader.load_monitor import DECIDING_SHARE, PLANNING_SHARE, LoadMonitor
 from gingerspar.coordination.machines import fleet
-from gingerspar.coordination.machines.cloud import Cloud, CloudTrouble, NoCapacity, NotEntitled
+from gingerspar.coordination.machines.cloud import CloudClient, CloudError, NoCapacity, NotPermitted
 from gingerspar.coordination.machines.roster import Roster
 from gingerspar.coordination.membership.session import Session
 from gingerspar.protocol import messages, names
@@ -36,10 +36,10 @@
 from gingerspar.protocol.settings import Facts, OperatorSettings, WorkerFacts
 from gingerspar.storage.client import StateClient
 from gingerspar.storage.view import WatchedView
-from gingerspar.transport.client import Client, Unanswered
+from gingerspar.transport.client import Client, NoAnswer
 from gingerspar.transport.clock import Clock
 from gingerspar.transport.server import Answer
-from gingerspar.transport.waits import within
+from gingerspar.transport.waits import wait_for_event
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Hold:
+class HeldAnswer:
     """An answer that is kept back, at most until ``due``."""
 
     machine: Machine
@@ -91,7 +91,7 @@
     """
     if not machine.live:
         return HOLD_IDLE
-    if machine.booked.cpus > 0 or any(map(_waited_for, machine.live.values())):
+    if machine.reserved.cpus > 0 or any(map(_waited_for, machine.live.values())):
         return HOLD_BUSY
     return HOLD_STRAINED if overloaded else min(max(timedelta(seconds=ready / NEWS_RATE), HOLD_BUSY), HOLD_MOST)
 
@@ -110,10 +110,10 @@
 def _waited_for(placement: Placement) -> bool:
     """Whether something is held up until this task's next change is known here."""
     spec = placement.spec
-    return placement.stop is not None or spec.priority.rank <= Priority.HIGH.rank or spec.shape is not Shape.ARRAY
+    return placement.stop_grace is not None or spec.priority.rank <= Priority.HIGH.rank or spec.shape is not Shape.ARRAY
 
 
-class CommandPost:
+class LeaderRuntime:
     """Lives for one term on the node that holds it."""
 
     def __init__(
@@ -123,7 +123,7 @@
         client: StateClient,
         view: WatchedView,
         session: Session,
-        cloud: Cloud,
+        cloud: CloudClient,
         clock: Clock,
         facts: Facts,
         settings: OperatorSettings,
@@ -132,7 +132,7 @@
         ask_reclaim: Callable[[str, str, int], None],
         steer: Callable[[], Answer],
         superseded: Callable[[], None],
-        strain: Strain,
+        load_monitor: LoadMonitor,
         rng: random.Random,
     ) -> None:
         self.dispatcher = dispatcher
@@ -149,15 +149,15 @@
         self._ask_reclaim = ask_reclaim
         self._steer = steer
         self._superseded = superseded
-        self._strain = strain
+        self._load_monitor = load_monitor
         self._longest_hold = longest_hold(dispatcher.workers)
-        self._holds: dict[str, Hold] = {}  # by machine
-        self._due: list[tuple[timedelta, int, Hold]] = []  # a heap of the same and of some that have left
+        self._holds: dict[str, HeldAnswer] = {}  # by machine
+        self._due: list[tuple[timedelta, int, HeldAnswer]] = []  # a heap of the same and of some that have left
         self._order = count()
         self._woken: dict[str, None] = {}  # machines that commands wait for, in order
         self._work = asyncio.Event()
         self._refusals = fleet.Refusals()
-        self._spare = fleet.Spare()
+        self._idle_history = fleet.IdleHistory()
         self._rentals = 0
         self._random = rng
         self._said = clock.now()
@@ -167,9 +167,9 @@
         self._calls: set[asyncio.Task[None]] = set()
         self._roster = Roster(dispatcher.term, client, view, session, self._work.set)
         dispatcher.on_wake(self._wake_machine)
-        dispatcher.finish_wanted = self._work.set
+        dispatcher.on_unrecorded = self._work.set
         dispatcher.final_spec = view.final_spec
-        dispatcher.is_over = view.final.__contains__
+        dispatcher.is_ended = view.final.__contains__
         view.on_job.append(self._record_changed)
 
     # -- life -----------------------------------------------------------------
@@ -177,7 +177,9 @@
     def start(self, types: list[MachineType]) -> None:
         self.dispatcher.set_types(types)
         for final in nlargest(COUNTED_OVER, self._view.final.values(), key=attrgetter("version")):
-            self.dispatcher.book.services.over(final.footprint.jobclass, final.status is JobStatus.DONE)
+            self.dispatcher.cluster_state.service_levels.job_ended(
+                final.footprint.jobclass, final.status is JobStatus.DONE
+            )
         for job in self._view.jobs:
             self._record_changed(job)
         log.info(
@@ -217,7 +219,7 @@
     def _ready(self) -> int:
         return len(self.dispatcher.pool.states[MachineState.READY])
 
-    def sample(self) -> list[str]:
+    def sample_addresses(self) -> list[str]:
         """Addresses of a few machines that report here, for whoever has to know whether it reaches them."""
         ready = list(self.dispatcher.pool.states[MachineState.READY].values())
         return [machine.address for machine in self._random.sample(ready, min(SAMPLE, len(ready))) if machine.address]
@@ -231,23 +233,23 @@
 
     # -- reports --------------------------------------------------------------
 
-    def report(self, report: Report) -> Answer | Awaitable[Answer]:
+    def handle_report(self, report: Report) -> Answer | Awaitable[Answer]:
         """What a worker is answered, at once or after a short while in which more may be decided for it."""
         try:
-            machine = self.dispatcher.report(report, self._clock.now())
-        except Stale:
+            machine = self.dispatcher.handle_report(report, self._clock.now())
+        except StaleReport:
             return Answer(503, b'{"error":"late"}')
         except Malformed as error:
-            return problem(400, str(error))
-        except Outdated:
+            return error_answer(400, str(error))
+        except NewerToken:
             self._superseded()
             return self._steer()
-        if self.dispatcher.dirty:
+        if self.dispatcher.needs_placement:
             self._work.set()
         if report.token >= self.dispatcher.term and machine.settled:
             if not machine.rostered:
-                self._roster.reported(machine)
-            if self.dispatcher.dirty or not self.dispatcher.has_commands(machine):
+                self._roster.add_machine(machine)
+            if self.dispatcher.needs_placement or not self.dispatcher.has_commands(machine):
                 return self._hold(machine, report)
         return self._answer(machine, report)
 
@@ -256,7 +258,7 @@
             # Commands are taken only now, so none is lost with this answer. Where a peer commands, the
             # worker goes there at once, not a second later to whichever node comes next.
             return self._steer()
-        commands = self.dispatcher.commands(machine, report, self._clock.now())
+        commands = self.dispatcher.take_commands(machine, report, self._clock.now())
         return Answer(200, messages.encode(ReportAnswer(self.dispatcher.term, commands)))
 
     def _hold(self, machine: Machine, report: Report) -> asyncio.Future[Answer]:
@@ -265,16 +267,16 @@
         It has neither a task nor a timer of its own: with a thousand machines these were a
         good part of what a report cost. The deciding loop lets go what is due.
         """
-        span = min(_hold_for(machine, self._ready, self._strain.overloaded), self._longest_hold)
+        span = min(_hold_for(machine, self._ready, self._load_monitor.overloaded), self._longest_hold)
         due = self._clock.now() + span
-        hold = Hold(machine, report, due, asyncio.get_running_loop().create_future())
+        hold = HeldAnswer(machine, report, due, asyncio.get_running_loop().create_future())
         self._holds[machine.name] = hold
         heappush(self._due, (due, next(self._order), hold))
         if self.dispatcher.has_commands(machine):
             self._woken[machine.name] = None  # it leaves after the pass that is due
         return hold.answer
 
-    def _release(self, hold: Hold) -> None:
+    def _release(self, hold: HeldAnswer) -> None:
         machine, report = hold.machine, hold.report
         if self._holds.get(machine.name) is hold:
             del self._holds[machine.name]
@@ -305,15 +307,15 @@
     async def _decide(self) -> None:
         summed = ticked = self._clock.now()
         while True:
-            await within(self._work, HOLD_STEP if self._holds else TICK)
+            await wait_for_event(self._work, HOLD_STEP if self._holds else TICK)
             self._work.clear()
             now = self._clock.now()
             try:
                 if now - ticked >= TICK:
                     ticked = now
                     self.dispatcher.tick(now, self._view.read_sent)
-                if self.dispatcher.book.types:
-                    self.dispatcher.place(now)
+                if self.dispatcher.cluster_state.types:
+                    self.dispatcher.place_tasks(now)
                 self._stop_directly()
                 self._say(now)
                 if log.isEnabledFor(logging.DEBUG) and now - summed >= SUMMARY:
@@ -322,15 +324,15 @@
             except Exception:
                 log.exception("deciding failed")
             self._release_holds()
-            if self.dispatcher.dirty:
+            if self.dispatcher.needs_placement:
                 self._work.set()  # the pass was stopped to let others have their turn
             # A pass that took long is followed by a longer pause: reports and reads come first.
             least = max(PASS_PAUSE, self._ready * PASS_PAUSE_EACH)
-            pause = self._strain.pause_after(self._clock.now() - now, DECIDING, least)
+            pause = self._load_monitor.pause_after(self._clock.now() - now, DECIDING_SHARE, least)
             await asyncio.sleep(pause.total_seconds())
 
     def _stop_directly(self) -> None:
-        stopping = self.dispatcher.stopping
+        stopping = self.dispatcher.pending_direct_stops
         for name, machine in list(stopping.items()):
             if not (machine.settled and machine.address) or name in self._holds:
                 del stopping[name]  # an answer that is held back takes them along at once
@@ -349,7 +351,7 @@
             await client.request(
                 "POST", names.PATH_COMMANDS, body, timeout=timedelta(seconds=2), permit=self._authority
             )
-        except (Unanswered, ValueError) as error:
+        except (NoAnswer, ValueError) as error:
             log.debug("direct stop: %s", error)
         finally:
             client.close()
@@ -366,7 +368,7 @@
         if self._ready:
             await asyncio.sleep(TELL_AFTER.total_seconds())
         for _ in range(TELL_ROUNDS):
-            waiting = [machine for machine in self.dispatcher.silent() if machine.address]
+            waiting = [machine for machine in self.dispatcher.unreported_machines() if machine.address]
             if waiting:
                 log.info("telling %d machines of term %d", len(waiting), self.dispatcher.term)
             for begin in range(0, len(waiting), TELL_AT_ONCE):
@@ -382,10 +384,10 @@
             async with asyncio.timeout(2 * TELL_PATIENCE.total_seconds()):
                 _, body = await client.request("GET", names.PATH_STATUS)
                 report = messages.decode(Report, body)
-                self.dispatcher.told_directly(machine, report)
+                self.dispatcher.notified_directly(machine, report)
                 orders = messages.encode(DirectCommands(self.dispatcher.term, report.session, []))
                 await client.request("POST", names.PATH_COMMANDS, orders, permit=self._authority)
-        except (Unanswered, Malformed, TimeoutError) as error:
+        except (NoAnswer, Malformed, TimeoutError) as error:
             log.debug("machine %s was not told: %s", machine.name, error)
         finally:
             client.close()
@@ -395,17 +397,19 @@
         if now - self._said >= SAY_PAUSE:
             self._said = now
             finishes: dict[str, dict[str, list[int]]] = {}
-            for job, run in self.dispatcher.book.unsaved.items():
+            for job, run in self.dispatcher.cluster_state.unrecorded.items():
                 claimant = run.record.claimant
-                if claimant is not None and (run.told is None or now - run.told >= SAY_AGAIN):
-                    run.told = now
-                    finishes.setdefault(claimant.node, {})[job] = sorted(run.unsaved)
+                if claimant is not None and (run.notified_at is None or now - run.notified_at >= SAY_AGAIN):
+                    run.notified_at = now
+                    finishes.setdefault(claimant.node, {})[job] = sorted(run.unrecorded)
             for node, jobs in finishes.items():
                 self._tell_finished(node, jobs)
-        for job, run in self.dispatcher.backlog.lacking_attempt.items():
+        for job, run in self.dispatcher.backlog.awaiting_attempt.items():
             claimant = run.record.claimant
-            if claimant is not None and (run.reclaim_asked is None or now - run.reclaim_asked >= RECLAIM_AGAIN):
-                run.reclaim_asked = now
+            if claimant is not None and (
+                run.reclaim_requested_at is None or now - run.reclaim_requested_at >= RECLAIM_AGAIN
+            ):
+                run.reclaim_requested_at = now
                 self._ask_reclaim(claimant.node, job, run.record.attempt)
 
     # -- fleet ----------------------------------------------------------------
@@ -431,14 +435,16 @@
         while True:
             await asyncio.sleep(pause.total_seconds())
             now = self._clock.now()
-            if not self._may_order() or not self.dispatcher.book.types:
+            if not self._may_order() or not self.dispatcher.cluster_state.types:
                 continue
             try:
-                for offer, count in fleet.wanted(self.dispatcher.book, self._refusals, now).items():
+                for offer, count in fleet.plan_rentals(self.dispatcher.cluster_state, self._refusals, now).items():
                     if offer not in self._renting:
                         self._renting.add(offer)
                         self._spawn(self._rent(offer, min(count, fleet.MOST_RENTED_AT_ONCE)))
-                back = fleet.idle(self.dispatcher.book, self._spare, now, self._settings.idle_return)[:100]
+                back = fleet.plan_returns(
+                    self.dispatcher.cluster_state, self._idle_history, now, self._settings.idle_return
+                )[:100]
                 if back:
                     for machine in back:
                         machine.move(MachineState.RETURNING)
@@ -446,7 +452,7 @@
             except Exception:
                 log.exception("fleet planning failed")
             least = max(FLEET_INTERVAL, self._ready * FLEET_EACH)
-            pause = self._strain.pause_after(self._clock.now() - now, PLANNING, least)
+            pause = self._load_monitor.pause_after(self._clock.now() - now, PLANNING_SHARE, least)
 
     async def _rent(self, offer: Offer, count: int) -> None:
         self._rentals += 1
@@ -460,7 +466,7 @@
                 try:
                     hosts = await self._cloud.rent(request, self._may_order)
                     break
-                except CloudTrouble as error:
+                except CloudError as error:
                     log.info("rental %s: %s", request.request, error)
                     await asyncio.sleep(1)
             else:
@@ -469,12 +475,12 @@
             log.info("rented %d of %d %s in %s, spot=%s: %s", len(hosts), count, type_name, zone, spot, " ".join(hosts))
             for name in hosts:
                 if name not in self.dispatcher.machines:
-                    self.dispatcher.book.add_machine(name, type_name, zone, spot, now, MachineState.BOOTING)
+                    self.dispatcher.cluster_state.add_machine(name, type_name, zone, spot, now, MachineState.BOOTING)
             if len(hosts) < count:
                 self._refusals.refused(offer, now)
             else:
                 self._refusals.granted(offer)
-        except NotEntitled:
+        except NotPermitted:
             log.info("rental %s not sent: the state service was not read just now", request.request)
         except NoCapacity:
             log.info("no capacity: %s in %s, spot=%s", type_name, zone, spot)
@@ -490,19 +496,19 @@
                 await asyncio.sleep(0.5)
                 continue
             try:
-                await self._cloud.give_back(hosts, self._may_order)
+                await self._cloud.return_machines(hosts, self._may_order)
                 break
-            except NotEntitled:
+            except NotPermitted:
                 continue
-            except (CloudTrouble, NoCapacity) as error:
+            except (CloudError, NoCapacity) as error:
                 log.info("return: %s", error)
                 await asyncio.sleep(1)
         now = self._clock.now()
         for machine in machines:
             self._retired[machine.name] = now
-            self.dispatcher.returned(machine, now)
+            self.dispatcher.machine_returned(machine, now)
         self._work.set()
-        self._roster.strike(hosts)
+        self._roster.remove(hosts)
 
     async def _run_list(self) -> None:
         """Looks for machines nobody expects, and for those that have failed."""
@@ -510,7 +516,7 @@
         while True:
             try:
                 listed = await self._cloud.machines()
-            except (CloudTrouble, NoCapacity) as error:
+            except (CloudError, NoCapacity) as error:
                 log.debug("list: %s", error)
                 await asyncio.sleep(1)
                 continue
@@ -520,7 +526,7 @@
                 machine = self.dispatcher.machines.get(entry.machine)
                 if machine is None:
                     if entry.machine not in self._retired:
-                        machine = self.dispatcher.book.add_machine(
+                        machine = self.dispatcher.cluster_state.add_machine(
                             entry.machine, entry.type, entry.zone, entry.spot, now, MachineState.BOOTING
                         )
                     elif entry.status is not MachineStatus.FAILED:
@@ -532,6 +538,6 @@
                 unheard = (MachineState.BOOTING, MachineState.UNSETTLED)
                 failed = entry.status is MachineStatus.FAILED
                 if machine is not None and failed and machine.state in unheard and machine.answered is None:
-                    self.dispatcher.lost(machine, "the cloud lists it as failed", now)
+                    self.dispatcher.machine_lost(machine, "the cloud lists it as failed", now)
             self._work.set()
             await asyncio.sleep(pause)
--- a/gingerspar/coordination/leader/load_monitor.py
+++ b/gingerspar/coordination/leader/load_monitor.py
@@ -19,33 +19,33 @@
 ENTER = timedelta(milliseconds=120)  # pulses that late, smoothed, are overload
 LEAVE = timedelta(milliseconds=40)
 CALM = timedelta(seconds=3)  # they must have been below LEAVE for so long
-MOST_COUNTED = timedelta(seconds=0.5)  # of one late pulse: a process that stood still once is not overloaded
+MAX_COUNTED_LATENESS = timedelta(seconds=0.5)  # of one late pulse: a process that stood still once is not overloaded
 
 
-class StrainState(Enum):
-    EASY = "easy"
+class LoadState(Enum):
+    NORMAL = "normal"
     OVERLOADED = "overloaded"
 
 
 # Shares of the time, the rest is for reports, reads and users' requests.
-DECIDING = {StrainState.EASY: 0.5, StrainState.OVERLOADED: 0.3}
-PLANNING = {StrainState.EASY: 0.1, StrainState.OVERLOADED: 0.05}
+DECIDING_SHARE = {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.3}
+PLANNING_SHARE = {LoadState.NORMAL: 0.1, LoadState.OVERLOADED: 0.05}
 
 
-class Strain:
+class LoadMonitor:
     """Runs in every node."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self.state = StrainState.EASY
+        self.state = LoadState.NORMAL
         self.lateness = timedelta(0)  # smoothed
         self._calm_since: timedelta | None = None
 
     @property
     def overloaded(self) -> bool:
-        return self.state is StrainState.OVERLOADED
+        return self.state is LoadState.OVERLOADED
 
-    def _move(self, state: StrainState) -> None:
+    def _move(self, state: LoadState) -> None:
         """The only place where the state changes."""
         log.info(
             "strain: %s -> %s, timers %.0f ms late", self.state.value, state.value, self.lateness.total_seconds() * 1000
@@ -57,20 +57,20 @@
         due = self._clock.now() + span
         await asyncio.sleep(span.total_seconds())
         now = self._clock.now()
-        self.pulse(now - due, now)
+        self.record_lateness(now - due, now)
 
-    def pulse(self, late: timedelta, now: timedelta) -> None:
+    def record_lateness(self, late: timedelta, now: timedelta) -> None:
         """A timer fired ``late`` after its time; called some ten times a second."""
-        self.lateness += (min(max(late, timedelta(0)), MOST_COUNTED) - self.lateness) * SMOOTHING
+        self.lateness += (min(max(late, timedelta(0)), MAX_COUNTED_LATENESS) - self.lateness) * SMOOTHING
         if self.lateness > LEAVE:
             self._calm_since = None
         elif self._calm_since is None:
             self._calm_since = now
-        if self.state is StrainState.EASY and self.lateness > ENTER:
-            self._move(StrainState.OVERLOADED)
+        if self.state is LoadState.NORMAL and self.lateness > ENTER:
+            self._move(LoadState.OVERLOADED)
         elif self.overloaded and self._calm_since is not None and now - self._calm_since >= CALM:
-            self._move(StrainState.EASY)
+            self._move(LoadState.NORMAL)
 
-    def pause_after(self, spent: timedelta, shares: dict[StrainState, float], least: timedelta) -> timedelta:
+    def pause_after(self, spent: timedelta, shares: dict[LoadState, float], least: timedelta) -> timedelta:
         """How long an activity that took ``spent`` has to rest to keep to its share."""
         return max(least, spent * (1 / shares[self.state] - 1))
--- a/gingerspar/coordination/machines/cloud.py
+++ b/gingerspar/coordination/machines/cloud.py
@@ -7,15 +7,15 @@
 from gingerspar.protocol import messages, names
 from gingerspar.protocol.messages import ListedMachine, MachineType
 from gingerspar.storage.budgets import Budget, Urgency
-from gingerspar.transport.client import Client, NotSent, Unanswered
+from gingerspar.transport.client import Client, NoAnswer, RequestNotSent
 from gingerspar.transport.clock import Clock
 
 
-class CloudTrouble(Exception):
+class CloudError(Exception):
     """No usable answer; a rental may have been carried out all the same."""
 
 
-class NotEntitled(Exception):
+class NotPermitted(Exception):
     """The order was not sent: whoever gave it may not any more."""
 
 
@@ -23,7 +23,7 @@
     """None of these machines is to be had now."""
 
 
-class Cloud:
+class CloudClient:
     """Calls to the cloud. The dispatcher makes nearly all of them."""
 
     SHARE = 0.7  # of the cloud's rate; the rest is for other nodes' catalogs and a former leader
@@ -40,22 +40,22 @@
         urgent: bool = False,
         permit: Callable[[], bool] | None = None,
     ) -> bytes:
-        await self._budget.take(1, Urgency.USER if urgent else Urgency.BACKGROUND)
+        await self._budget.acquire(1, Urgency.USER if urgent else Urgency.BACKGROUND)
         try:
             status, answer = await self._client.request(method, path, body, timeout=timedelta(seconds=8), permit=permit)
-        except NotSent as error:
+        except RequestNotSent as error:
             if permit is not None and not permit():
-                raise NotEntitled from error
-            raise CloudTrouble(str(error)) from error
-        except Unanswered as error:
-            raise CloudTrouble(str(error)) from error
+                raise NotPermitted from error
+            raise CloudError(str(error)) from error
+        except NoAnswer as error:
+            raise CloudError(str(error)) from error
         if status == 200:
             return answer
         if status == 429:
-            self._budget.drain(timedelta(milliseconds=300))
+            self._budget.block(timedelta(milliseconds=300))
         if status == 503 and b"no capacity" in answer:
             raise NoCapacity
-        raise CloudTrouble(f"{method} {path}: {status} {answer[:200]!r}")
+        raise CloudError(f"{method} {path}: {status} {answer[:200]!r}")
 
     async def catalog(self) -> list[MachineType]:
         return messages.decode(messages.Catalog, await self._call("GET", names.PATH_CATALOG)).types
@@ -65,7 +65,7 @@
         answer = await self._call("POST", names.PATH_MACHINES, messages.encode(request), urgent=True, permit=permit)
         return messages.decode(messages.MachineNames, answer).machines
 
-    async def give_back(self, machines: list[str], permit: Callable[[], bool]) -> None:
+    async def return_machines(self, machines: list[str], permit: Callable[[], bool]) -> None:
         body = messages.encode(messages.MachineNames(machines))
         await self._call("POST", names.PATH_RETURN, body, permit=permit)
 
--- a/gingerspar/coordination/machines/roster.py
+++ b/gingerspar/coordination/machines/roster.py
@@ -16,10 +16,10 @@
 from gingerspar.protocol.messages import KeyVersion, Put, Transaction
 from gingerspar.storage import records
 from gingerspar.storage.budgets import Urgency
-from gingerspar.storage.client import Conflict, LeaseGone, StateClient, Unavailable, Unknown
+from gingerspar.storage.client import Conflict, LeaseExpired, OutcomeUnknown, StateClient, Unavailable
 from gingerspar.storage.records import RosterRecord
 from gingerspar.storage.view import WatchedView
-from gingerspar.transport.waits import within
+from gingerspar.transport.waits import wait_for_event
 
 log = logging.getLogger(__name__)
 
@@ -72,19 +72,19 @@
         self._gone: set[str] = set()
         self._wake = asyncio.Event()
 
-    def reported(self, machine: Machine) -> None:
+    def add_machine(self, machine: Machine) -> None:
         """A machine is up: tasks may be sent to it once it is on the roster."""
         if not machine.rostered and machine.name not in self._new:
             self._new[machine.name] = machine
             self._wake.set()
 
-    def strike(self, names: Iterable[str]) -> None:
+    def remove(self, names: Iterable[str]) -> None:
         """Machines that are certainly gone."""
         self._gone.update(names)
 
     async def run(self) -> None:
         while True:
-            if await within(self._wake, STRIKE_AFTER):
+            if await wait_for_event(self._wake, STRIKE_AFTER):
                 await asyncio.sleep(0.03)  # machines that boot at once come in together
             self._wake.clear()
             if self._new or self._gone:
@@ -100,7 +100,7 @@
                 del self._new[name]  # it has gone; if it comes back, it reports again
             elif name in listed:
                 del self._new[name]  # a write without an answer has been applied
-                machine.enlist()
+                machine.mark_rostered()
         new = dict(self._new)
         gone = set(self._gone)
         groups = {key: record for key, (record, _) in self._view.roster.items()}
@@ -124,7 +124,7 @@
         for name, machine in new.items():
             if name in written:
                 del self._new[name]
-                machine.enlist()
+                machine.mark_rostered()
         still = {name for record, _ in self._view.roster.values() for name in record.names}
         self._gone -= gone - still
         self._enlisted()
@@ -140,11 +140,11 @@
         conditions += [KeyVersion(put.key, known[put.key][1] if put.key in known else 0) for put in puts]
         try:
             version = await self._client.commit(Transaction(conditions, [*puts]), urgency)
-        except (Conflict, Unknown) as error:
+        except (Conflict, OutcomeUnknown) as error:
             log.debug("roster: %r", error)
             await self._view.barrier(timedelta(seconds=1))
             return False
-        except (LeaseGone, Unavailable) as error:
+        except (LeaseExpired, Unavailable) as error:
             log.debug("roster: %r", error)
             return False
         for put in puts:
--- a/gingerspar/coordination/membership/session.py
+++ b/gingerspar/coordination/membership/session.py
@@ -9,7 +9,7 @@
 from gingerspar.protocol.messages import KeyVersion, Put, Transaction
 from gingerspar.storage import records
 from gingerspar.storage.budgets import Urgency
-from gingerspar.storage.client import Conflict, LeaseGone, StateClient, Unavailable, Unknown
+from gingerspar.storage.client import Conflict, LeaseExpired, OutcomeUnknown, StateClient, Unavailable
 from gingerspar.storage.records import Claimant, NodeRecord
 from gingerspar.storage.view import Phase, WatchedView
 from gingerspar.transport.clock import Clock
@@ -72,7 +72,7 @@
         if self._view.nodes.get(node) != self._version:
             self._move(SessionState.NONE, "key is gone or another's")
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         while True:
             try:
                 if self.state is SessionState.OPEN:
@@ -82,11 +82,11 @@
                     await self._open()
                 else:
                     await asyncio.sleep(0.05)
-            except LeaseGone:
+            except LeaseExpired:
                 self._tried_former = True
                 if self.state is not SessionState.NONE:
                     self._move(SessionState.NONE, "lease has ended")
-            except (Unavailable, Unknown) as error:
+            except (Unavailable, OutcomeUnknown) as error:
                 log.debug("session: %s", error)
                 await asyncio.sleep(0.3)
 
@@ -127,7 +127,7 @@
         except Conflict:
             await self._view.barrier(timedelta(seconds=1))
             return
-        except Unknown:
+        except OutcomeUnknown:
             # It may have been applied under this very lease; a new lease tells them apart.
             self._move(SessionState.NONE, "no answer")
             raise
--- a/gingerspar/coordination/membership/term.py
+++ b/gingerspar/coordination/membership/term.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from gingerspar.coordination.membership.reachability import ReachState
+from gingerspar.coordination.membership.reachability import ReachabilityState
 from gingerspar.protocol.settings import Facts, WorkerFacts
 from gingerspar.storage.view import read_pace
 
@@ -24,7 +24,7 @@
 DRIFT = 0.0005  # steady clocks drift apart by at most this share (PROTOCOL)
 
 
-def authority_span(workers: WorkerFacts) -> timedelta:
+def authority_duration(workers: WorkerFacts) -> timedelta:
     """L: how long after *sending* its last good state read a leader may answer workers.
 
     A cancellation committed just after that read must take effect within
@@ -41,14 +41,14 @@
 READS_WITHIN = 2  # good reads that a leader should be able to send within L, as one may be late
 
 
-def too_short_to_cancel(facts: Facts) -> str | None:
+def cancel_limit_problem(facts: Facts) -> str | None:
     """What is wrong with ``cancel_s`` where a leader can't read the state service often enough for L; else None.
 
     Then machines are seldom answered in time and lose their leases, or have to be: no answer
     could be given without the risk that what it keeps alive has just been cancelled.
     """
     workers, least = facts.workers, read_pace(facts.state.rps, facts.size) * READS_WITHIN
-    if authority_span(workers) >= least:
+    if authority_duration(workers) >= least:
         return None
     return (
         f"facts.workers.cancel_s: {workers.cancel_s:g} is too close to lease_s, {workers.lease_s:g}: "
@@ -57,29 +57,29 @@
     )
 
 
-def settle_span(workers: WorkerFacts) -> timedelta:
+def settling_time(workers: WorkerFacts) -> timedelta:
     """After a term change: until no machine can still run what an older leader started."""
-    total = authority_span(workers) + workers.lease
+    total = authority_duration(workers) + workers.lease
     return total + total * (4 * DRIFT) + timedelta(seconds=0.5)
 
 
 @dataclass(slots=True)
-class PeerNews:
+class PeerStatus:
     """What the last heartbeat of a peer said and when it came."""
 
-    heard: timedelta
+    received_at: timedelta
     term: int
     dispatching: bool
     state_age: timedelta
     workers: int
-    writes: float = 0.0
-    hears: tuple[str, ...] = ()
-    began: timedelta | None = None  # when its process began, on this node's steady clock
-    reaches: bool | None = None  # the workers, as far as it can tell
+    write_demand: float = 0.0
+    receives_from: tuple[str, ...] = ()
+    process_started: timedelta | None = None  # when its process began, on this node's steady clock
+    reaches_workers: bool | None = None  # the workers, as far as it can tell
 
 
 @dataclass(slots=True)
-class Knowledge:
+class ElectionState:
     """All that the decision to raise the term rests on."""
 
     now: timedelta
@@ -91,24 +91,24 @@
     leader_session_alive: bool
     leader_is_this_process: bool
     workers: int  # reports that reached this node within the last seconds
-    deserters: int  # of these, workers that the current leader had: they have seen its token
-    deserters_needed: int
+    switched_workers: int  # of these, workers that the current leader had: they have seen its token
+    switched_workers_needed: int
     term_seen: timedelta  # when this node first saw the current term
     started: timedelta
     live_nodes: list[str] = field(default_factory=list)  # with an open session
-    peers: dict[str, PeerNews] = field(default_factory=dict)
+    peers: dict[str, PeerStatus] = field(default_factory=dict)
     link_up: bool = False  # to the leader
     resigned: bool = False  # this process held the current term and gave it up
     resigned_since: timedelta = timedelta(0)
-    lonely_since: timedelta | None = None  # since then workers come here and none to the leader
-    fresh_since: timedelta = timedelta(0)  # since then this node has read the state service without a gap
-    beat: timedelta | None = None  # when the leader's last sign of life in the state service was read
-    reach: ReachState = ReachState.UNKNOWN  # whether this node reaches the workers
-    cut_off_since: timedelta | None = None  # since then the leader says that it does not
+    leader_without_workers_since: timedelta | None = None  # since then workers come here and none to the leader
+    state_fresh_since: timedelta = timedelta(0)  # since then this node has read the state service without a gap
+    liveness_seen: timedelta | None = None  # when the leader's last sign of life in the state service was read
+    reachability: ReachabilityState = ReachabilityState.UNKNOWN  # whether this node reaches the workers
+    leader_unreachable_since: timedelta | None = None  # since then the leader says that it does not
 
 
-FRESH = timedelta(seconds=1.5)
-SILENT = timedelta(seconds=1.2)
+STATE_FRESH_FOR = timedelta(seconds=1.5)
+PEER_SILENT_AFTER = timedelta(seconds=1.2)
 # A state service that is merely slow must not move the term: with each change every machine is
 # unsettled for seconds, while a leader without reads goes on with the claims that its peers hand it
 # (kerlann-fonts-fleet loss: two changes of term in a minute of slow answers).
@@ -124,14 +124,14 @@
 SETTLING_IN = timedelta(seconds=4)  # a new leader gets this long before it is judged
 
 
-def shows_itself(beat: timedelta | None, now: timedelta) -> bool:
+def is_liveness_fresh(beat: timedelta | None, now: timedelta) -> bool:
     """Whether a leader's last sign of life in the state service is fresh."""
     return beat is not None and now - beat <= BEAT_FRESH
 
 
-def reason_to_raise(k: Knowledge) -> str | None:
+def reason_to_raise(k: ElectionState) -> str | None:
     """Why this node should take the term now, if it should."""
-    if k.leader_is_this_process or not k.session_open or k.state_age > FRESH:
+    if k.leader_is_this_process or not k.session_open or k.state_age > STATE_FRESH_FOR:
         return None
     if k.term == 0 or k.leader is None:
         return _in_turn(k, "there is no leader", k.started)
@@ -140,15 +140,15 @@
     if k.leader == k.node:
         # It resigned in favour of a peer; unless one follows, it takes the term again.
         return "no peer took the term" if k.now - k.resigned_since > SETTLING_IN else None
-    news = k.peers.get(k.leader)
-    silence = k.now - news.heard if news is not None else k.now - k.started
-    silent = silence > SILENT
+    peer_status = k.peers.get(k.leader)
+    silence = k.now - peer_status.received_at if peer_status is not None else k.now - k.started
+    silent = silence > PEER_SILENT_AFTER
     if not k.leader_session_alive and silent:
         return _in_turn(k, "the leader's session is over", k.term_seen)
     # It has asked its machines and this node has asked some too, so a new leader needs no time to
     # settle in: a wrong choice is put right within seconds, before the workers' leases run out.
-    cut_off = k.now - k.cut_off_since if k.cut_off_since is not None else None
-    if not silent and cut_off is not None and cut_off >= NO_REACH and k.reach is ReachState.REACHES:
+    cut_off = k.now - k.leader_unreachable_since if k.leader_unreachable_since is not None else None
+    if not silent and cut_off is not None and cut_off >= NO_REACH and k.reachability is ReachabilityState.REACHABLE:
         return _in_turn(k, "the leader reaches no workers", k.now - cut_off + NO_REACH)
     if k.now - k.term_seen < SETTLING_IN:
         return None
@@ -158,35 +158,39 @@
         # New machines' first reports come here in any case.
         # Nor do they while it shows itself in the state service: they may be on their way to it from an older
         # leader, told of its token (bench/days/workers-alone: a term of 4 s).
-        if k.deserters >= k.deserters_needed and not k.link_up and not shows_itself(k.beat, k.now):
-            return _in_turn(k, "the leader is silent and workers come here", k.now - silence + SILENT)
+        if (
+            k.switched_workers >= k.switched_workers_needed
+            and not k.link_up
+            and not is_liveness_fresh(k.liveness_seen, k.now)
+        ):
+            return _in_turn(k, "the leader is silent and workers come here", k.now - silence + PEER_SILENT_AFTER)
         # It may have lost the state service as well and keep its workers: then nobody comes here.
-        last = max(k.now - silence, k.term_seen, k.beat or k.started)
+        last = max(k.now - silence, k.term_seen, k.liveness_seen or k.started)
         if k.now - last > NO_BEAT:
             return _in_turn(k, "the leader is silent, in the state service as well", last + NO_BEAT)
         return None
-    if news is None:
+    if peer_status is None:
         return None
     # After an outage some node reads first, and must not take the term from a leader that is about to read.
-    if news.state_age > STALE_LEADER and k.now - k.fresh_since > REGAINED:
-        return _in_turn(k, "the leader has no state service", k.now - (news.state_age - STALE_LEADER))
-    if not news.dispatching and news.term >= k.term:
+    if peer_status.state_age > STALE_LEADER and k.now - k.state_fresh_since > REGAINED:
+        return _in_turn(k, "the leader has no state service", k.now - (peer_status.state_age - STALE_LEADER))
+    if not peer_status.dispatching and peer_status.term >= k.term:
         return _in_turn(k, "the leader gave up", k.now - silence)
     # For a while, not at one moment: a first worker comes here before it is steered there.
     # Workers that the leader had need less of it: when the leader is cut off from them and the state
     # service goes out some seconds later, there is no other chance to keep their tasks (combinations
     # 56 and 282: 98 of 117 tasks were killed by their leases).
-    if k.lonely_since is not None:
-        enough = NO_WORKERS_LEFT if k.deserters >= k.deserters_needed else NO_WORKERS
-        if k.now - max(k.lonely_since, k.term_seen) > enough:
-            return _in_turn(k, "workers reach this node and not the leader", k.lonely_since + enough)
+    if k.leader_without_workers_since is not None:
+        enough = NO_WORKERS_LEFT if k.switched_workers >= k.switched_workers_needed else NO_WORKERS
+        if k.now - max(k.leader_without_workers_since, k.term_seen) > enough:
+            return _in_turn(k, "workers reach this node and not the leader", k.leader_without_workers_since + enough)
     return None
 
 
 _BY_REACH: dict[bool | None, int] = {True: 0, None: 1, False: 2}
 
 
-def _in_turn(k: Knowledge, why: str, since: timedelta) -> str | None:
+def _in_turn(k: ElectionState, why: str, since: timedelta) -> str | None:
     """Lets the nodes try one after the other.
 
     First those that reach the workers, last those that have asked in vain: on
@@ -201,21 +205,23 @@
     """
 
     others = sorted(set(k.live_nodes) - {k.leader})
-    began = {node: k.peers[node].began for node in others if node in k.peers}
+    began = {node: k.peers[node].process_started for node in others if node in k.peers}
     known = {node: since for node, since in began.items() if since is not None and k.now - since >= SETTLING_IN}
     if known and k.now - k.started >= SETTLING_IN:
         known[k.node] = k.started
         oldest = min(known.values())
         # Processes that began about together stay in the order of their names.
         others.sort(key=lambda node: -((known.get(node, oldest) - oldest) // SAME_AGE))
-    reaches = {node: k.peers[node].reaches for node in others if node in k.peers}
-    reaches[k.node] = None if k.reach is ReachState.UNKNOWN else k.reach is ReachState.REACHES
+    reaches = {node: k.peers[node].reaches_workers for node in others if node in k.peers}
+    reaches[k.node] = (
+        None if k.reachability is ReachabilityState.UNKNOWN else k.reachability is ReachabilityState.REACHABLE
+    )
     others.sort(key=lambda node: _BY_REACH[reaches.get(node)])
     place = others.index(k.node) if k.node in others else len(others)
     return why if k.now - since >= STAGGER * place else None
 
 
-def reason_to_resign(k: Knowledge) -> str | None:
+def reason_to_resign(k: ElectionState) -> str | None:
     """Why the leader should stop answering workers before its authority ends.
 
     Only once a peer commands in its place. A leader that had no state service used to stop as
@@ -225,7 +231,11 @@
     """
     if not k.leader_is_this_process:
         return None
-    heard = {node: news for node, news in k.peers.items() if k.now - news.heard <= SILENT}
-    if any(news.term > k.term and news.dispatching for news in heard.values()):
+    heard = {
+        node: peer_status
+        for node, peer_status in k.peers.items()
+        if k.now - peer_status.received_at <= PEER_SILENT_AFTER
+    }
+    if any(peer_status.term > k.term and peer_status.dispatching for peer_status in heard.values()):
         return "a peer dispatches under a higher term"
     return None
--- a/gingerspar/coordination/membership/worker_contacts.py
+++ b/gingerspar/coordination/membership/worker_contacts.py
@@ -9,7 +9,7 @@
 MOST_REMEMBERED = 5000  # workers whose newest report is known, so that copies of older ones count for nothing
 
 
-class Visits:
+class WorkerContacts:
     """The latest report of each worker, with the token that it had seen; counted as they come and go.
 
     A report alone shows only that its sender was alive when it wrote it: it may be a copy that comes
@@ -18,11 +18,11 @@
     """
 
     def __init__(self) -> None:
-        self._visits: OrderedDict[str, tuple[timedelta, int, str]] = OrderedDict()  # with its address
+        self._contacts: OrderedDict[str, tuple[timedelta, int, str]] = OrderedDict()  # with its address
         self._tokens: Counter[int] = Counter()
         self._newest: OrderedDict[str, tuple[int, int]] = OrderedDict()  # session and number of each worker's report
         self._answered: dict[str, int] = {}  # of those that have come lately, with their tokens
-        self.last: timedelta | None = None  # when the latest of all came
+        self.last_report_at: timedelta | None = None  # when the latest of all came
 
     def add(self, machine: str, address: str, order: tuple[int, int], token: int, now: timedelta) -> None:
         """A report came; ``order`` is its session and number. Copies and older ones count for nothing."""
@@ -32,11 +32,11 @@
         self._newest.move_to_end(machine)
         if len(self._newest) > MOST_REMEMBERED:
             self._newest.popitem(last=False)
-        known = self._visits.pop(machine, None)
+        known = self._contacts.pop(machine, None)
         if known is not None:
             self._forget(known[1])
-        self._visits[machine] = (now, token, address)
-        self.last = now
+        self._contacts[machine] = (now, token, address)
+        self.last_report_at = now
         self._tokens[token] += 1
         if machine in self._answered:
             self._answered[machine] = token
@@ -46,41 +46,41 @@
         if not self._tokens[token]:
             del self._tokens[token]
 
-    def answers(self, machine: str, order: tuple[int, int]) -> None:
+    def record_probe_answer(self, machine: str, order: tuple[int, int]) -> None:
         """A worker that has come here has answered a question, with a report of this session and number.
 
         If it has said more since it came, what came was a late copy: it reports to another node.
         """
-        visit, came = self._visits.get(machine), self._newest.get(machine, (0, 0))
+        visit, came = self._contacts.get(machine), self._newest.get(machine, (0, 0))
         if visit is not None and order[0] == came[0] and order[1] - came[1] <= ASKED_MEANWHILE:
             self._answered[machine] = visit[1]
 
-    def unasked(self, most: int) -> list[tuple[str, str]]:
+    def unprobed(self, most: int) -> list[tuple[str, str]]:
         """Those that came last and have not answered yet, with their addresses; none once ``most`` have answered."""
         if len(self._answered) >= most:
             return []
-        coming = ((name, self._visits[name][2]) for name in reversed(self._visits) if name not in self._answered)
+        coming = ((name, self._contacts[name][2]) for name in reversed(self._contacts) if name not in self._answered)
         return list(islice(coming, most))
 
-    def workers(self, now: timedelta) -> int:
-        while self._visits:
-            machine, (when, token, _) = next(iter(self._visits.items()))
+    def recent_count(self, now: timedelta) -> int:
+        while self._contacts:
+            machine, (when, token, _) = next(iter(self._contacts.items()))
             if now - when <= RECENT:
                 break
-            del self._visits[machine]
+            del self._contacts[machine]
             self._answered.pop(machine, None)
             self._forget(token)
-        return len(self._visits)
+        return len(self._contacts)
 
-    def answering(self, now: timedelta) -> int:
+    def responsive_count(self, now: timedelta) -> int:
         """Of the workers that have come here lately, those that have answered a question."""
-        self.workers(now)
+        self.recent_count(now)
         return len(self._answered)
 
-    def came(self, term: int) -> int:
+    def switched_count(self, term: int) -> int:
         """Workers that have come here although the leader of this term had them, whether they hear or not."""
         return sum(count for token, count in self._tokens.items() if token >= term)
 
-    def deserters(self, term: int) -> int:
+    def responsive_switched_count(self, term: int) -> int:
         """Those of them that have answered a question."""
         return sum(token >= term for token in self._answered.values())
--- a/gingerspar/coordination/placement/gang_reservation.py
+++ b/gingerspar/coordination/placement/gang_reservation.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from gingerspar.coordination.cluster.capacity_index import Need
-from gingerspar.coordination.cluster.cluster_state import NO_GRACE, Book
+from gingerspar.coordination.cluster.capacity_index import CapacityIndex
+from gingerspar.coordination.cluster.cluster_state import NO_GRACE_PERIOD, ClusterState
 from gingerspar.coordination.cluster.job_runs import JobRun
 from gingerspar.coordination.cluster.machine import Machine, Placement, resource_weight
 from gingerspar.coordination.cluster.pool import allows
@@ -15,10 +15,10 @@
 log = logging.getLogger(__name__)
 
 PREEMPT_AFTER = timedelta(seconds=1.5)  # a gang waits this long for room to come by itself
-SEEK_AGAIN = timedelta(seconds=1)  # so often one gang's room is worked out
-KEEP_AT_MOST = timedelta(seconds=30)  # room that has not become enough by then is given up
+RESERVATION_RETRY_INTERVAL = timedelta(seconds=1)  # so often one gang's room is worked out
+RESERVATION_TIMEOUT = timedelta(seconds=30)  # room that has not become enough by then is given up
 LOOKED_THROUGH = 2  # times as many places as are needed are worked out in full
-KEEP_PAUSE = timedelta(seconds=15)  # ... for so long, so that others get on
+RESERVATION_PAUSE = timedelta(seconds=15)  # ... for so long, so that others get on
 
 
 def _any_machine(machine: Machine) -> bool:
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Slot:
+class TaskSlot:
     """A place for one task of the gang, and what must be stopped for it."""
 
     lost: float
@@ -38,19 +38,19 @@
         return (self.lost, self.machine.name)
 
 
-class RoomMaker:
+class GangReservations:
     """Keeps and makes room for gangs that fit nowhere."""
 
-    def __init__(self, book: Book) -> None:
-        self._book = book
+    def __init__(self, cluster_state: ClusterState) -> None:
+        self._cluster_state = cluster_state
 
     def due(self, run: JobRun, now: timedelta) -> bool:
         """Whether the gang has waited long enough since its room was last worked out."""
         if not self._ripe(run, now):
             return False
-        return run.room_sought is None or now - run.room_sought >= SEEK_AGAIN
+        return run.preemption_checked_at is None or now - run.preemption_checked_at >= RESERVATION_RETRY_INTERVAL
 
-    def hopeless(self, run: JobRun, now: timedelta) -> bool:
+    def cannot_fit(self, run: JobRun, now: timedelta) -> bool:
         """Whether a look at the gang would change nothing, as the sums over its kind tell.
 
         Not even stopping all that is less urgent would make it fit, and there is nothing
@@ -59,26 +59,26 @@
         spec = run.spec
         if spec.spread or run.failures:
             return False
-        if run.booked_since is not None and now - run.booked_since > KEEP_AT_MOST:
+        if run.reserved_since is not None and now - run.reserved_since > RESERVATION_TIMEOUT:
             return False  # what it keeps is due to be given up, or it may keep room again
-        need = self._book.pool.need(spec)
-        if need.free:
+        index = self._cluster_state.pool.capacity(spec)
+        if index.free:
             return False
         own: dict[str, int] = {}
-        for machine, count in run.booked.items():
+        for machine, count in run.reserved.items():
             zone = machine.zone if spec.one_zone else ""
             own[zone] = own.get(zone, 0) + count
-        if any(places.all + own.get(zone, 0) >= spec.tasks for zone, places in need.sums()):
+        if any(places.total + own.get(zone, 0) >= spec.tasks for zone, places in index.totals()):
             return False
-        if run.booked_since is None and self._ripe(run, now) and self.could_fit(run):
-            run.booked_since = now  # its time to keep room has begun, though there is none yet
+        if run.reserved_since is None and self._ripe(run, now) and self.fits_if_empty(run):
+            run.reserved_since = now  # its time to keep room has begun, though there is none yet
         return True
 
     @staticmethod
     def _ripe(run: JobRun, now: timedelta) -> bool:
         return run.waiting_since is not None and now - run.waiting_since >= PREEMPT_AFTER
 
-    def make(self, run: JobRun, now: timedelta) -> None:
+    def reserve(self, run: JobRun, now: timedelta) -> None:
         """Books room for the gang and stops work of lower priority where that helps.
 
         Stopping is worth it only if the gang then fits; what loses least goes first. If it
@@ -89,56 +89,56 @@
         if not self._ripe(run, now) or spec.spread:
             return
         if (
-            run.booked_since is not None
-            and now - run.booked_since > KEEP_AT_MOST
-            and self._book.first_gang(now) is not run
+            run.reserved_since is not None
+            and now - run.reserved_since > RESERVATION_TIMEOUT
+            and self._cluster_state.first_overdue_gang(now) is not run
         ):
-            if now - run.booked_since < KEEP_AT_MOST + KEEP_PAUSE:
+            if now - run.reserved_since < RESERVATION_TIMEOUT + RESERVATION_PAUSE:
                 return  # it had its time: others must not starve for it
-            run.booked_since = None
-        run.room_sought = now
-        need = self._book.pool.need(spec)
-        if any(places.all >= spec.tasks for _, places in need.sums()):
-            slots = self._slots(run, need, now)
+            run.reserved_since = None
+        run.preemption_checked_at = now
+        index = self._cluster_state.pool.capacity(spec)
+        if any(places.total >= spec.tasks for _, places in index.totals()):
+            slots = self._slots(run, index, now)
             self._take(run, slots[: spec.tasks], now)
-        elif self.could_fit(run):
-            slots = self._slots(run, need, now) if need.free else []
+        elif self.fits_if_empty(run):
+            slots = self._slots(run, index, now) if index.free else []
             self._take(run, [slot for slot in slots if not slot.victims], now)
 
-    def make_among(self, run: JobRun, usable: Callable[[Machine], bool], now: timedelta) -> bool:
+    def reserve_on(self, run: JobRun, usable: Callable[[Machine], bool], now: timedelta) -> bool:
         """Makes room on such machines, if stopping what is less urgent there is enough."""
         spec = run.spec
         if spec.spread:
             return False
-        need = self._book.pool.need(spec)
-        if not any(places.all >= spec.tasks for _, places in need.sums()):
+        index = self._cluster_state.pool.capacity(spec)
+        if not any(places.total >= spec.tasks for _, places in index.totals()):
             return False
-        slots = self._slots(run, need, now, usable)
+        slots = self._slots(run, index, now, usable)
         if len(slots) < spec.tasks:
             return False
-        run.room_sought = now
+        run.preemption_checked_at = now
         self._take(run, slots[: spec.tasks], now)
         return True
 
     def _slots(
-        self, run: JobRun, need: Need, now: timedelta, usable: Callable[[Machine], bool] = _any_machine
-    ) -> list[Slot]:
+        self, run: JobRun, index: CapacityIndex, now: timedelta, usable: Callable[[Machine], bool] = _any_machine
+    ) -> list[TaskSlot]:
         """Places for the gang's tasks, those for which least is lost first; of one zone if it needs one.
 
         Only the machines that promise the least loss for each place are gone through task
         by task.
         """
         spec = run.spec
-        pool = self._book.pool
-        pool.looked_at += len(need.free)
-        slots: list[Slot] = []
-        for machine in sorted(filter(usable, need.free.values()), key=lambda machine: machine.name):
-            slots += [Slot(0.0, machine, [])] * min(machine.room_for(spec), spec.tasks)
+        pool = self._cluster_state.pool
+        pool.looked_at += len(index.free)
+        slots: list[TaskSlot] = []
+        for machine in sorted(filter(usable, index.free.values()), key=lambda machine: machine.name):
+            slots += [TaskSlot(0.0, machine, [])] * min(machine.tasks_that_fit(spec), spec.tasks)
         if len(slots) < spec.tasks or spec.one_zone:
-            stopping: list[Slot] = []
+            stopping: list[TaskSlot] = []
             counts: dict[str, int] = {}
-            zones = set(need.zones) if spec.one_zone else {""}
-            for machine in need.by_loss(now):
+            zones = set(index.zones) if spec.one_zone else {""}
+            for machine in index.by_stop_cost(now):
                 zone = machine.zone if spec.one_zone else ""
                 if zone not in zones or not usable(machine):
                     continue
@@ -154,46 +154,46 @@
             slots += stopping
         return _best_zone(slots, spec.tasks) if spec.one_zone else slots
 
-    def _take(self, run: JobRun, slots: list[Slot], now: timedelta) -> None:
+    def _take(self, run: JobRun, slots: list[TaskSlot], now: timedelta) -> None:
         room: dict[Machine, int] = {}
         for slot in slots:
             room[slot.machine] = room.get(slot.machine, 0) + 1
-        self._book.book(run, room, now)
-        if any(victim.stop is None for slot in slots for victim in slot.victims):
+        self._cluster_state.reserve(run, room, now)
+        if any(victim.stop_grace is None for slot in slots for victim in slot.victims):
             stopped = ", ".join(sorted({victim.job for slot in slots for victim in slot.victims}))
             log.info("making room for %s on %d machines by stopping tasks of %s", run.spec.job, len(room), stopped)
         for slot in slots:
             for victim in slot.victims:
-                stop_for_others(self._book, victim, now)
+                preempt(self._cluster_state, victim, now)
 
-    def could_fit(self, run: JobRun) -> bool:
+    def fits_if_empty(self, run: JobRun) -> bool:
         """Whether the machines there are would hold the gang if they were empty."""
         spec = run.spec
         zones: dict[str, int] = {}
-        for offer, kind, count in self._book.pool.ready():
+        for offer, kind, count in self._cluster_state.pool.ready():
             if allows(spec, *offer):
                 zone = offer[1] if spec.one_zone else ""
-                zones[zone] = zones.get(zone, 0) + count * scoring.slots(kind, spec)
+                zones[zone] = zones.get(zone, 0) + count * scoring.task_capacity(kind, spec)
         return max(zones.values(), default=0) >= spec.tasks
 
-    def _by_stopping(self, run: JobRun, machine: Machine, now: timedelta) -> list[Slot]:
+    def _by_stopping(self, run: JobRun, machine: Machine, now: timedelta) -> list[TaskSlot]:
         """Places for tasks of the gang on one machine, each with what must be stopped for it."""
         spec = run.spec
         victims = [p for p in machine.live.values() if p.rank > spec.priority.rank]
-        victims.sort(key=lambda p: (p.stop is None, lost_work(p, now)))
+        victims.sort(key=lambda p: (p.stop_grace is None, lost_work(p, now)))
         cpus, gpus, memory = machine.free()
-        found: list[Slot] = []
+        found: list[TaskSlot] = []
         chosen: list[Placement] = []
         lost = 0.0
         while len(found) < spec.tasks:
             if cpus + 1e-9 >= spec.cpus and gpus + 1e-9 >= spec.gpus and memory + 1e-9 >= spec.memory_gb:
                 cpus, gpus, memory = cpus - spec.cpus, gpus - spec.gpus, memory - spec.memory_gb
-                found.append(Slot(lost, machine, chosen))
+                found.append(TaskSlot(lost, machine, chosen))
                 chosen = []
             elif victims:
                 victim = victims.pop(0)
                 chosen.append(victim)
-                if victim.stop is None:
+                if victim.stop_grace is None:
                     lost += 1.0 + lost_work(victim, now)
                 theirs = victim.spec
                 cpus, gpus, memory = cpus + theirs.cpus, gpus + theirs.gpus, memory + theirs.memory_gb
@@ -202,20 +202,20 @@
         return found
 
 
-def stop_for_others(book: Book, victim: Placement, now: timedelta) -> None:
+def preempt(cluster_state: ClusterState, victim: Placement, now: timedelta) -> None:
     """Stops a task to make room, its gang with it; it saves if it can."""
-    if victim.stop is None and victim.live:
-        grace = victim.spec.save_time if victim.spec.checkpoint_s else NO_GRACE
-        theirs = book.runs[victim.job]
-        if theirs.gangs:
-            book.stop_run(theirs, grace, now)
+    if victim.stop_grace is None and victim.live:
+        grace = victim.spec.save_time if victim.spec.checkpoint_s else NO_GRACE_PERIOD
+        theirs = cluster_state.runs[victim.job]
+        if theirs.is_gang:
+            cluster_state.stop_run(theirs, grace, now)
         else:
-            book.stop(victim, grace, now)
+            cluster_state.stop_task(victim, grace, now)
 
 
-def _best_zone(slots: list[Slot], count: int) -> list[Slot]:
+def _best_zone(slots: list[TaskSlot], count: int) -> list[TaskSlot]:
     """The slots of one zone: where ``count`` of them lose least, or else where there are most."""
-    zones: dict[str, list[Slot]] = {}
+    zones: dict[str, list[TaskSlot]] = {}
     for slot in slots:
         zones.setdefault(slot.machine.zone, []).append(slot)
 
--- a/gingerspar/coordination/placement/scoring.py
+++ b/gingerspar/coordination/placement/scoring.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from datetime import timedelta
 
-from gingerspar.coordination.cluster.machine import Machine, Placement, run_time, slot_cost, slots
+from gingerspar.coordination.cluster.machine import Machine, Placement, cost_per_task, run_time, task_capacity
 from gingerspar.coordination.cluster.pool import Offer, allows
 from gingerspar.protocol.messages import JobSpec, MachineType, Priority
 
@@ -33,7 +33,7 @@
 
 def busy_until(machine: Machine, now: timedelta) -> timedelta:
     """When the machine's present tasks will probably all have ended."""
-    ahead = machine.look_ahead()
+    ahead = machine.forecast()
     latest = now + max(ahead.longest_ahead, ahead.longest * 0.2)
     return latest if ahead.last_end is None else max(latest, ahead.last_end)
 
@@ -42,7 +42,7 @@
     """How long the task would wait for its image there; images fetched at once share the rate."""
     if machine.kind is None or not spec.image or spec.image in machine.images:
         return timedelta(0)
-    fetching = machine.look_ahead().fetching
+    fetching = machine.forecast().fetching
     alone = spec.image_gb / max(machine.kind.fetch_gb_per_s, 1e-3)
     if spec.image in fetching:
         return timedelta(seconds=0.6 * alone * len(fetching))
@@ -62,7 +62,10 @@
         self._now = now
         self._span = run_time(spec)
         costs = [
-            slot_cost(kind, spot, spec) for kind in types.values() for spot in (False, True) if spec.spot or not spot
+            cost_per_task(kind, spot, spec)
+            for kind in types.values()
+            for spot in (False, True)
+            if spec.spot or not spot
         ]
         self._cheapest = max(min(costs, default=1.0), 1e-9)
 
@@ -144,12 +147,12 @@
 def _fill(
     spec: JobSpec, machines: Sequence[Machine], count: int, most_per_zone: int, scorer: Scorer
 ) -> list[Machine] | None:
-    if sum(machine.room_for(spec) for machine in machines) < count:
+    if sum(machine.tasks_that_fit(spec) for machine in machines) < count:
         return None  # not worth ranking them
     found: list[Machine] = []
     zones: Counter[str] = Counter()
     for machine in ranked(machines, scorer):
-        take = min(machine.room_for(spec), count - len(found), most_per_zone - zones[machine.zone])
+        take = min(machine.tasks_that_fit(spec), count - len(found), most_per_zone - zones[machine.zone])
         found += [machine] * max(take, 0)
         zones[machine.zone] += max(take, 0)
         if len(found) == count:
@@ -157,4 +160,14 @@
     return None
 
 
-__all__ = ["Offer", "Scorer", "allows", "busy_until", "choose_all", "fetch_time", "ranked", "slot_cost", "slots"]
+__all__ = [
+    "Offer",
+    "Scorer",
+    "allows",
+    "busy_until",
+    "choose_all",
+    "cost_per_task",
+    "fetch_time",
+    "ranked",
+    "task_capacity",
+]
--- a/gingerspar/coordination/placement/team_limits.py
+++ b/gingerspar/coordination/placement/team_limits.py
@@ -3,17 +3,17 @@
 import logging
 from datetime import timedelta
 
-from gingerspar.coordination.cluster.cluster_state import Book
+from gingerspar.coordination.cluster.cluster_state import ClusterState
 from gingerspar.coordination.cluster.job_runs import JobRun
 from gingerspar.coordination.cluster.machine import Placement
 from gingerspar.coordination.placement.gang_reservation import (
-    KEEP_AT_MOST,
-    KEEP_PAUSE,
     PREEMPT_AFTER,
-    SEEK_AGAIN,
-    RoomMaker,
+    RESERVATION_PAUSE,
+    RESERVATION_RETRY_INTERVAL,
+    RESERVATION_TIMEOUT,
+    GangReservations,
     lost_work,
-    stop_for_others,
+    preempt,
 )
 
 log = logging.getLogger(__name__)
@@ -23,67 +23,69 @@
 STOP_AFTER = timedelta(seconds=5)
 
 
-class LimitKeeper:
+class TeamLimitReservations:
     """Keeps for a gang what its team's tasks leave of the limit, and stops less urgent ones of them.
 
     Tasks of arrays took piece by piece what ended: half of the urgent gangs waited for over a minute while their team's
     routine work went on (bench/leader_load.py --limit 9000).
     """
 
-    def __init__(self, book: Book, room: RoomMaker) -> None:
-        self._book = book
-        self._room = room
+    def __init__(self, cluster_state: ClusterState, gang_reservations: GangReservations) -> None:
+        self._cluster_state = cluster_state
+        self._gang_reservations = gang_reservations
         self._first: dict[str, JobRun] = {}  # by team: the gang that comes first of those that wait for its limit
         self._refused: dict[str, tuple[float, float]] = {}  # by team: what a run needed that found less left
 
-    def begin(self) -> None:
+    def begin_pass(self) -> None:
         """To be called at the beginning of each pass."""
         self._first, self._refused = {}, {}
 
-    def in_vain(self, run: JobRun) -> bool:
+    def is_blocked(self, run: JobRun) -> bool:
         """Whether no look at the run is needed to know that its team's limit leaves it nothing.
 
         Within a pass the limit leaves less and less. Each gang is looked at all the same: one that has had its time
         gives way to the next.
         """
-        if self.keeps_from(run):
+        if self.is_reserved_for_other(run):
             return True
         refused = self._refused.get(run.spec.team)
-        return not run.gangs and refused is not None and run.at_once[0] >= refused[0] and run.at_once[1] >= refused[1]
+        return not run.is_gang and refused is not None and run.demand[0] >= refused[0] and run.demand[1] >= refused[1]
 
-    def refused(self, run: JobRun) -> None:
+    def record_refusal(self, run: JobRun) -> None:
         """The run has found less left than it needs."""
         least = self._refused.get(run.spec.team)
-        if least is None or (run.at_once[0] <= least[0] and run.at_once[1] <= least[1]):
-            self._refused[run.spec.team] = run.at_once
+        if least is None or (run.demand[0] <= least[0] and run.demand[1] <= least[1]):
+            self._refused[run.spec.team] = run.demand
 
-    def keeps_from(self, run: JobRun) -> bool:
+    def is_reserved_for_other(self, run: JobRun) -> bool:
         """Whether what is left of its team's limit is kept for a gang that goes before it."""
         return self._first.get(run.spec.team, run) is not run
 
-    def wait(self, run: JobRun, now: timedelta) -> None:
+    def reserve(self, run: JobRun, now: timedelta) -> None:
         """The gang, not in vain, finds less left than it needs. What comes after it takes nothing for a while."""
-        if self._book.pool.unsettled.names:
+        if self._cluster_state.pool.unsettled.names:
             return  # unsettled machines count as full of the team's work: that passes by itself
-        if run.spec.team not in self._book.teams:
+        if run.spec.team not in self._cluster_state.teams:
             return  # it is not in the settings any more: it can't run
-        cpus, gpus = self._book.team_lacks(run.spec)
-        used = self._book.usage[run.spec.team]
+        cpus, gpus = self._cluster_state.team_shortfall(run.spec)
+        used = self._cluster_state.usage[run.spec.team]
         if cpus > used.cpus or gpus > used.gpus:
             return  # the limit was lowered since: it can never run
         if run.waiting_since is None or now - run.waiting_since < PREEMPT_AFTER:
             return
-        if run.limit_kept_since is None:
-            run.limit_kept_since = now
-        kept = now - run.limit_kept_since
-        if kept > KEEP_AT_MOST and self._book.first_gang(now) is not run:
-            if kept < KEEP_AT_MOST + KEEP_PAUSE:
+        if run.limit_reserved_since is None:
+            run.limit_reserved_since = now
+        kept = now - run.limit_reserved_since
+        if kept > RESERVATION_TIMEOUT and self._cluster_state.first_overdue_gang(now) is not run:
+            if kept < RESERVATION_TIMEOUT + RESERVATION_PAUSE:
                 return  # it had its time: others must not starve for it
-            run.limit_kept_since = now
+            run.limit_reserved_since = now
         self._first[run.spec.team] = run
-        if kept >= STOP_AFTER and (run.room_sought is None or now - run.room_sought >= SEEK_AGAIN):
-            run.room_sought = now
-            if self._room.could_fit(run):
+        if kept >= STOP_AFTER and (
+            run.preemption_checked_at is None or now - run.preemption_checked_at >= RESERVATION_RETRY_INTERVAL
+        ):
+            run.preemption_checked_at = now
+            if self._gang_reservations.fits_if_empty(run):
                 self._stop_less_urgent(run, now)
 
     def _stop_less_urgent(self, run: JobRun, now: timedelta) -> None:
@@ -91,15 +93,17 @@
         spec = run.spec
         theirs = [
             placement
-            for other in self._book.runs.values()
+            for other in self._cluster_state.runs.values()
             if other.spec.team == spec.team and other.places
             for placement in other.live
         ]
-        cpus, gpus = self._book.team_lacks(spec)
+        cpus, gpus = self._cluster_state.team_shortfall(spec)
         for placement in theirs:
-            if placement.stop is not None:
+            if placement.stop_grace is not None:
                 cpus, gpus = cpus - placement.spec.cpus, gpus - placement.spec.gpus
-        victims = [placement for placement in theirs if placement.stop is None and placement.rank > spec.priority.rank]
+        victims = [
+            placement for placement in theirs if placement.stop_grace is None and placement.rank > spec.priority.rank
+        ]
         victims.sort(key=lambda placement: (lost_work(placement, now), placement.name))
         chosen: list[Placement] = []
         for victim in victims:
@@ -112,4 +116,4 @@
             return
         log.info("team %s is at its limit: stopping %d tasks for %s", spec.team, len(chosen), spec.job)
         for victim in chosen:
-            stop_for_others(self._book, victim, now)
+            preempt(self._cluster_state, victim, now)
--- a/gingerspar/protocol/messages.py
+++ b/gingerspar/protocol/messages.py
@@ -195,7 +195,7 @@
     cause: Cause | None = None
     saved: bool | None = None
 
-    def where(self) -> tuple[str, int]:
+    def task_id(self) -> tuple[str, int]:
         """Job and number of the task."""
         job, _, number = self.task.rpartition("/")
         return job, int(number)
@@ -222,9 +222,9 @@
     token: int = 0
     spot: bool = False
     notice_s: Annotated[float, msgspec.Meta(ge=0.0, le=LONGEST_S)] | None = None
-    tasks: msgspec.Raw = msgspec.Raw(b"[]")  # read by ``listed`` only if it differs from the report before
+    tasks: msgspec.Raw = msgspec.Raw(b"[]")  # read by ``task_list`` only if it differs from the report before
 
-    def listed(self) -> list[TaskReport]:
+    def task_list(self) -> list[TaskReport]:
         return decode(list[TaskReport], self.tasks) if bytes(self.tasks) != b"null" else []
 
 
@@ -257,7 +257,7 @@
     commands: list[Command]
 
 
-class Steer(msgspec.Struct, rename={"dispatcher": "Foreman"}, omit_defaults=True):
+class Redirect(msgspec.Struct, rename={"dispatcher": "Foreman"}, omit_defaults=True):
     """Sends a worker on to the node that commands the machines."""
 
     dispatcher: str | None = None
--- a/gingerspar/storage/budgets.py
+++ b/gingerspar/storage/budgets.py
@@ -69,7 +69,7 @@
         self._level = min(self._burst, self._level + (now - self._at).total_seconds() * self._rate)
         self._at = now
 
-    async def take(self, units: float, urgency: Urgency) -> None:
+    async def acquire(self, units: float, urgency: Urgency) -> None:
         """Returns once ``units`` are there and nobody more urgent waits."""
         self._order += 1
         ticket = (int(urgency), self._order)
@@ -92,7 +92,7 @@
             self._waiting.remove(ticket)
             self._lacking -= units
 
-    def drain(self, pause: timedelta) -> None:
+    def block(self, pause: timedelta) -> None:
         """The other side says that too much came: nothing for a while."""
         self._refill()
         self._level = min(self._level, -pause.total_seconds() * self._rate)
--- a/gingerspar/storage/client.py
+++ b/gingerspar/storage/client.py
@@ -5,7 +5,7 @@
 
 from gingerspar.protocol import messages, names
 from gingerspar.storage.budgets import Budget, Urgency
-from gingerspar.transport.client import Client, Unanswered
+from gingerspar.transport.client import Client, NoAnswer
 from gingerspar.transport.clock import Clock
 
 # Answers mostly come within 10 ms, some after a few hundred. A transaction that has none by then may be carried out all
@@ -17,7 +17,7 @@
     """The request was not executed: 503, 429 or no connection."""
 
 
-class Unknown(Exception):
+class OutcomeUnknown(Exception):
     """No answer: the request may have been executed, or may yet be."""
 
 
@@ -30,11 +30,11 @@
         self.revision = revision
 
 
-class LeaseGone(Exception):
+class LeaseExpired(Exception):
     """The lease of a put, or the one to extend, has ended."""
 
 
-class TooOld(Exception):
+class RevisionCompacted(Exception):
     """Changes since that revision are no longer kept."""
 
 
@@ -104,12 +104,12 @@
     ) -> tuple[int, bytes]:
         try:
             status, answer = await self._client.request(method, path, body, timeout=timeout)
-        except Unanswered as error:
-            raise Unknown(str(error)) from error
+        except NoAnswer as error:
+            raise OutcomeUnknown(str(error)) from error
         if status in (429, 503):
             if status == 429:
-                self._requests.drain(timedelta(milliseconds=100))
-                self._writes.drain(timedelta(milliseconds=100))
+                self._requests.block(timedelta(milliseconds=100))
+                self._writes.block(timedelta(milliseconds=100))
             raise Unavailable(f"{status} {path}")
         return status, answer
 
@@ -118,13 +118,13 @@
         path = f"{names.PATH_CHANGES}?Prefix={quote(prefix)}&Since={since}&HoldMs=0"
         status, answer = await self._call("GET", path, timeout=timeout)
         if status == 410:
-            raise TooOld(str(since))
+            raise RevisionCompacted(str(since))
         if status != 200:
             raise Unavailable(f"{status} {path}")
         return messages.decode(messages.Changes, answer)
 
     async def page(self, prefix: str, since: str | None, most: int) -> messages.Items:
-        await self._requests.take(1, Urgency.SESSION)
+        await self._requests.acquire(1, Urgency.SESSION)
         path = f"{names.PATH_KEYS}?Prefix={quote(prefix)}&Most={most}"
         if since is not None:
             path += f"&Since={quote(since)}"
@@ -136,10 +136,10 @@
     async def commit(
         self, transaction: messages.Transaction, urgency: Urgency, patience: timedelta = ANSWER_WAIT
     ) -> int:
-        """The revision of the writes, or ``Conflict``, ``Unavailable``, or after ``patience`` ``Unknown``."""
-        await self._requests.take(1, urgency)
+        """The revision of the writes, or ``Conflict``, ``Unavailable``, or after ``patience`` ``OutcomeUnknown``."""
+        await self._requests.acquire(1, urgency)
         if transaction.writes:
-            await self._writes.take(len(transaction.writes), urgency)
+            await self._writes.acquire(len(transaction.writes), urgency)
         status, answer = await self._call("POST", names.PATH_COMMIT, messages.encode(transaction), patience)
         if status == 200:
             return messages.decode(messages.Committed, answer).revision
@@ -147,11 +147,11 @@
             refused = messages.decode(messages.Refused, answer)
             raise Conflict(refused.failed, refused.revision)
         if status == 400 and b"no such lease" in answer:
-            raise LeaseGone
+            raise LeaseExpired
         raise Unavailable(f"commit: {status} {answer[:200]!r}")
 
     async def grant(self, ttl: timedelta) -> int:
-        await self._requests.take(1, Urgency.SESSION)
+        await self._requests.acquire(1, Urgency.SESSION)
         request = messages.GrantRequest(ttl_ms=round(ttl.total_seconds() * 1000))
         status, answer = await self._call("POST", names.PATH_GRANTS, messages.encode(request))
         if status != 200:
@@ -159,9 +159,9 @@
         return messages.decode(messages.Granted, answer).lease
 
     async def extend(self, lease: int) -> None:
-        await self._requests.take(1, Urgency.SESSION)
+        await self._requests.acquire(1, Urgency.SESSION)
         status, _ = await self._call("POST", f"{names.PATH_GRANTS}/{lease}{names.PATH_EXTEND}", b"{}")
         if status == 404:
-            raise LeaseGone
+            raise LeaseExpired
         if status != 200:
             raise Unavailable(f"extend: {status}")
--- a/gingerspar/storage/records.py
+++ b/gingerspar/storage/records.py
@@ -13,7 +13,7 @@
 NODES = PREFIX + "n/"
 ROSTER = PREFIX + "r/"
 TERM = PREFIX + "term"
-BEATS = PREFIX + "b/"
+LIVENESS = PREFIX + "b/"
 
 
 def job_key(job: str) -> str:
@@ -24,8 +24,8 @@
     return NODES + node
 
 
-def beat_key(node: str) -> str:
-    return BEATS + node
+def liveness_key(node: str) -> str:
+    return LIVENESS + node
 
 
 def finished_key(job: str, chunk: int) -> str:
@@ -76,7 +76,7 @@
     def missing(self) -> Iterator[int]:
         return (number for number in range(self._size) if number not in self)
 
-    def beyond(self, other: "TaskSet") -> list[int]:
+    def difference(self, other: "TaskSet") -> list[int]:
         """Members that ``other``, of the same size, has not."""
         found: list[int] = []
         for place, (mine, theirs) in enumerate(zip(self._bits, other._bits, strict=True)):
@@ -186,7 +186,7 @@
     lease: int = 0  # so that the node's next process can go on with the session
 
 
-class BeatRecord(msgspec.Struct, frozen=True):
+class LivenessRecord(msgspec.Struct, frozen=True):
     """A sign of life by way of the state service; each is a new version."""
 
     term: int
--- a/gingerspar/storage/view.py
+++ b/gingerspar/storage/view.py
@@ -15,7 +15,7 @@
 
 from gingerspar.protocol.messages import Changes, Item, JobSpec, JobStatus
 from gingerspar.storage import records
-from gingerspar.storage.client import StateClient, TooOld, Unavailable, Unknown
+from gingerspar.storage.client import OutcomeUnknown, RevisionCompacted, StateClient, Unavailable
 from gingerspar.storage.records import (
     ChunkRecord,
     FinalRecord,
@@ -27,7 +27,7 @@
     TermRecord,
 )
 from gingerspar.transport.clock import Clock
-from gingerspar.transport.waits import within
+from gingerspar.transport.waits import wait_for_event
 
 log = logging.getLogger(__name__)
 
@@ -80,7 +80,7 @@
         self.node_records: dict[str, NodeRecord] = {}
         self.roster: dict[str, tuple[RosterRecord, int]] = {}  # by key: a group of machines each
         self.term: tuple[TermRecord, int] | None = None
-        self.beats: dict[str, timedelta] = {}  # when a sign of life of each node was last read here
+        self.liveness: dict[str, timedelta] = {}  # when a sign of life of each node was last read here
         self.unreadable: set[str] = set()  # jobs with a newer record than this program can read
         self._gone: dict[str, int] = {}  # tombstones of our own deletions until the watch passes them
         self._chunks: dict[str, dict[int, tuple[str, int]]] = {}
@@ -97,7 +97,7 @@
         """How long ago the last read that brought the view up to date was sent."""
         return self._clock.now() - self.read_sent
 
-    def commands(self, commands: bool) -> None:
+    def set_commanding(self, commands: bool) -> None:
         """Whether this node commands the machines: then it reads more often."""
         self._steady = self._paces[commands]
 
@@ -138,7 +138,7 @@
                     await self._load()
                 else:
                     read = await self._read(sent)
-            except (Unavailable, Unknown) as error:
+            except (Unavailable, OutcomeUnknown) as error:
                 log.debug("view: %s", error)
             except (msgspec.MsgspecError, ValueError):
                 log.exception("view: unreadable answer")
@@ -161,7 +161,7 @@
             return
         rest = (self._steady - (self._clock.now() - sent)).total_seconds()
         if rest > 0 and not self._wanted.is_set():
-            await within(self._wanted, timedelta(seconds=rest))
+            await wait_for_event(self._wanted, timedelta(seconds=rest))
 
     async def _changes(self, sent: timedelta) -> tuple[Changes, timedelta]:
         """All that is new, and when the read that brought it was sent.
@@ -192,7 +192,7 @@
     async def _read(self, sent: timedelta) -> bool:
         try:
             changes, sent = await self._changes(sent)
-        except TooOld:
+        except RevisionCompacted:
             log.info("view: too far behind, loading again")
             self.phase = Phase.LOADING
             return False
@@ -252,8 +252,8 @@
             self._apply_roster(key, value, version)
         elif key.startswith(records.FINISHED):
             self._apply_chunk(key[len(records.FINISHED) :], value, version)
-        elif key.startswith(records.BEATS):
-            self.beats[key[len(records.BEATS) :]] = self._clock.now()
+        elif key.startswith(records.LIVENESS):
+            self.liveness[key[len(records.LIVENESS) :]] = self._clock.now()
         elif key == records.TERM and value is not None and (self.term is None or self.term[1] < version):
             self.term = (msgspec.json.decode(value, type=TermRecord), version)
             for listener in self.on_term:
@@ -316,7 +316,7 @@
         else:
             self.roster[key] = (msgspec.json.decode(value, type=RosterRecord), version)
 
-    def rostered(self) -> list[tuple[str, str, str, bool]]:
+    def rostered_machines(self) -> list[tuple[str, str, str, bool]]:
         """Name, type, zone and kind of every machine that may run tasks."""
         return [(name, group.type, group.zone, group.spot) for group, _ in self.roster.values() for name in group.names]
 
--- a/gingerspar/transport/client.py
+++ b/gingerspar/transport/client.py
@@ -14,11 +14,11 @@
 from tornado import http1connection, httputil, iostream
 
 
-class Unanswered(Exception):
+class NoAnswer(Exception):
     """No answer came; the request may have been carried out, or may yet be."""
 
 
-class NotSent(Unanswered):
+class RequestNotSent(NoAnswer):
     """No connection came about, so the request was certainly not carried out."""
 
 
@@ -58,7 +58,7 @@
             await asyncio.wait_for(stream.connect(self._target), self._connect_timeout)
         except (TimeoutError, iostream.StreamClosedError, OSError) as error:
             stream.close()
-            raise NotSent(f"{self._address}: {error!r}") from error
+            raise RequestNotSent(f"{self._address}: {error!r}") from error
         except asyncio.CancelledError:
             # Nobody else knows of it: it would stay among this process's sockets, behind a cut for minutes.
             stream.close()
@@ -74,10 +74,10 @@
         timeout: timedelta = timedelta(seconds=3),
         permit: Callable[[], bool] | None = None,
     ) -> tuple[int, bytes]:
-        """Status and body of the answer, or ``Unanswered``.
+        """Status and body of the answer, or ``NoAnswer``.
 
         ``permit`` is asked at the last moment before the request leaves; if it says no,
-        ``NotSent`` is raised.
+        ``RequestNotSent`` is raised.
         """
         while self._kept:
             stream, connection = self._kept.pop()
@@ -87,7 +87,7 @@
             stream, connection = await self._open()
         if permit is not None and not permit():
             self._kept.append((stream, connection))
-            raise NotSent(f"{self._address}: not entitled any more")
+            raise RequestNotSent(f"{self._address}: not entitled any more")
         reply = _Reply()
         clean = False
         try:
@@ -95,14 +95,14 @@
                 await self._exchange(connection, reply, method, path, body)
             clean = reply.complete and not stream.closed()
         except (TimeoutError, iostream.StreamClosedError, httputil.HTTPInputError, OSError) as error:
-            raise Unanswered(f"{self._address}: {error!r}") from error
+            raise NoAnswer(f"{self._address}: {error!r}") from error
         finally:
             if clean and len(self._kept) < self._most_kept:
                 self._kept.append((stream, connection))
             else:
                 stream.close()
         if not reply.complete:
-            raise Unanswered(f"{self._address}: closed before the answer ended")
+            raise NoAnswer(f"{self._address}: closed before the answer ended")
         return reply.status, b"".join(reply.chunks)
 
     async def _exchange(
--- a/gingerspar/transport/peerlink.py
+++ b/gingerspar/transport/peerlink.py
@@ -66,19 +66,19 @@
         self._unsent = 0
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         return self._stream is not None and not self._stream.closed()
 
     @property
     def age(self) -> timedelta:
         """How long the connection has been up."""
-        return self._clock.now() - self._since if self.up else timedelta(0)
+        return self._clock.now() - self._since if self.is_up else timedelta(0)
 
     def close(self) -> None:
         if self._stream is not None:
             self._stream.close()
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         while True:
             stream = iostream.IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
             try:
@@ -127,15 +127,15 @@
 
     def start(self, port: int, address: str) -> list[asyncio.Task[None]]:
         self._listener.listen(port, address)
-        return [asyncio.ensure_future(out.keep()) for out in self._outgoing.values()]
+        return [asyncio.ensure_future(out.run()) for out in self._outgoing.values()]
 
     @property
     def peers(self) -> list[str]:
         return list(self._outgoing)
 
-    def up(self, peer: str) -> bool:
+    def is_up(self, peer: str) -> bool:
         out = self._outgoing.get(peer)
-        return out is not None and out.up
+        return out is not None and out.is_up
 
     def age(self, peer: str) -> timedelta:
         return self._outgoing[peer].age
--- a/gingerspar/transport/server.py
+++ b/gingerspar/transport/server.py
@@ -49,7 +49,7 @@
 Handler = Callable[[Request], Answer | Awaitable[Answer]]
 
 
-async def settled(answer: Answer | Awaitable[Answer]) -> Answer:
+async def resolve_answer(answer: Answer | Awaitable[Answer]) -> Answer:
     """The answer, whether it was there at once or has to be waited for."""
     return answer if isinstance(answer, Answer) else await answer
 
--- a/gingerspar/transport/waits.py
+++ b/gingerspar/transport/waits.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 
 
-async def within(event: asyncio.Event, span: timedelta) -> bool:
+async def wait_for_event(event: asyncio.Event, span: timedelta) -> bool:
     """True if the event is set before ``span`` is over."""
     try:
         async with asyncio.timeout(span.total_seconds()):
--- a/tests/standins/cloud.py
+++ b/tests/standins/cloud.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from gingerspar.transport.client import Client, Unanswered
+from gingerspar.transport.client import Client, NoAnswer
 from gingerspar.transport.server import Answer, Request, Server
 from tests.standins.state import answer
 from tests.standins.worker import CPUS, Worker
@@ -130,7 +130,7 @@
     async def _come_again(self, after: float, node: str, body: bytes) -> None:
         await asyncio.sleep(after)
         client = Client(self.controllers[node])
-        with contextlib.suppress(Unanswered):
+        with contextlib.suppress(NoAnswer):
             await client.request("POST", "/hello", body)
         client.close()
 
--- a/tests/standins/cluster.py
+++ b/tests/standins/cluster.py
@@ -11,7 +11,7 @@
 
 from gingerspar.controller import Controller
 from gingerspar.protocol.settings import OperatorSettings, parse_settings
-from gingerspar.transport.client import Client, Unanswered
+from gingerspar.transport.client import Client, NoAnswer
 from gingerspar.transport.clock import Clock
 from tests.standins.cloud import GANG_PEER, GANG_WAIT, Cloud
 from tests.standins.state import StateService
@@ -102,8 +102,8 @@
     def start_node(self, name: str) -> None:
         operator = OperatorSettings(session_ttl_s=self.session_ttl_s, idle_return_s=self.idle_return_s)
         controller = Controller(parse_settings(self.settings(name)), operator, self.clock, Random(name))
-        link, up = controller._link, controller._link.up
-        link.up = lambda peer: not {name, peer} & self.apart and up(peer)  # type: ignore[method-assign]
+        link, up = controller._link, controller._link.is_up
+        link.is_up = lambda peer: not {name, peer} & self.apart and up(peer)  # type: ignore[method-assign]
         for peer, outgoing in link._outgoing.items():
             outgoing.send = partial(self._between, {name, peer}, outgoing.send)  # type: ignore[method-assign]
         self.nodes[name] = (controller, asyncio.ensure_future(controller.run()))
@@ -126,7 +126,7 @@
             self.start_node(name)
 
     def commanding(self) -> list[str]:
-        return [name for name, (node, _) in self.nodes.items() if node._keeper.dispatching()]
+        return [name for name, (node, _) in self.nodes.items() if node._term_manager.is_dispatching()]
 
     async def stop(self) -> None:
         for name in list(self.nodes):
@@ -142,7 +142,7 @@
         try:
             status, answer = await client.request(method, path, data, timeout=timedelta(seconds=5))
             return status, msgspec.json.decode(answer)
-        except Unanswered:
+        except NoAnswer:
             return 0, None
         finally:
             client.close()
--- a/tests/standins/failures.py
+++ b/tests/standins/failures.py
@@ -12,7 +12,7 @@
 LONG = 20.0
 
 
-class Troubles:
+class RandomFailures:
     """Carries out what was drawn from one seed and says what that was."""
 
     def __init__(self, cluster: Cluster, users: Users, random: Random, *, more: bool = False) -> None:
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from gingerspar.transport.client import Client, Unanswered
+from gingerspar.transport.client import Client, NoAnswer
 from gingerspar.transport.server import Answer, Request, Server
 
 if TYPE_CHECKING:
@@ -160,9 +160,9 @@
         self.cloud.may_come_again(self.node, body)
         try:
             if self.node not in self.reaches:
-                raise Unanswered("behind a cut that refuses connections")
+                raise NoAnswer("behind a cut that refuses connections")
             status, answer = await client.request("POST", "/hello", body, timeout=timedelta(seconds=3))
-        except Unanswered:
+        except NoAnswer:
             status, answer = 0, b"{}"
         finally:
             client.close()
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -19,8 +19,8 @@
 async def _taken_after_the_burst_shrank() -> bool:
     clock = Clock()
     budget = Budget(clock, 100, 16)
-    await budget.take(16, Urgency.CLAIM)
-    waiting = asyncio.ensure_future(budget.take(16, Urgency.CLAIM))
+    await budget.acquire(16, Urgency.CLAIM)
+    waiting = asyncio.ensure_future(budget.acquire(16, Urgency.CLAIM))
     await asyncio.sleep(0)
     budget.set_rate(50, 4)
     await asyncio.wait_for(waiting, 2)
@@ -37,10 +37,10 @@
     budget = Budget(Clock(), 200, 4)
 
     async def take(name: str, urgency: Urgency) -> None:
-        await budget.take(4, urgency)
+        await budget.acquire(4, urgency)
         order.append(name)
 
-    await budget.take(4, Urgency.RESULT)
+    await budget.acquire(4, Urgency.RESULT)
     await asyncio.gather(
         take("sweep", Urgency.BACKGROUND), take("result", Urgency.RESULT), take("cancel", Urgency.USER)
     )
@@ -65,11 +65,11 @@
     clock = _Clock()
     budget = Budget(clock, 10, 10)
     asked = [Urgency.RESULT] * 10 + [Urgency.USER] * 6
-    takes = [asyncio.ensure_future(budget.take(1, urgency)) for urgency in asked]
+    takes = [asyncio.ensure_future(budget.acquire(1, urgency)) for urgency in asked]
     await asyncio.sleep(0)
     at_once = [take.done() for take in takes]
     clock.at += timedelta(seconds=0.5)  # what users had ahead is paid back first
-    late = asyncio.ensure_future(budget.take(1, Urgency.RESULT))
+    late = asyncio.ensure_future(budget.acquire(1, Urgency.RESULT))
     await asyncio.sleep(0.3)
     at_once += [takes[-1].done(), late.done()]
     for take in (*takes, late):
--- a/tests/test_capacity_index.py
+++ b/tests/test_capacity_index.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from gingerspar.coordination.cluster.capacity_index import MOST_NEEDS
-from gingerspar.coordination.cluster.cluster_state import Book
+from gingerspar.coordination.cluster.capacity_index import MAX_INDEXES
+from gingerspar.coordination.cluster.cluster_state import ClusterState
 from gingerspar.coordination.cluster.job_runs import JobRun
 from gingerspar.coordination.cluster.machine import Machine, MachineState, Placement, TaskState, fits
 from gingerspar.coordination.cluster.pool import allows
@@ -42,8 +42,8 @@
     @initialize()
     def begin(self) -> None:
         self.now = timedelta(0)
-        self.book = Book(1, [TeamFacts("red")])
-        self.book.set_types(KINDS)
+        self.cluster_state = ClusterState(1, [TeamFacts("red")])
+        self.cluster_state.set_types(KINDS)
         self.numbers = 0
         self.booked: list[JobRun] = []
         for number in range(MACHINES):
@@ -51,17 +51,17 @@
 
     def _add(self, name: str, number: int) -> None:
         kind, zone, spot = ("plain", "cards")[number % 2], "ab"[number // 2 % 2], number % 3 == 0
-        machine = self.book.add_machine(name, kind, zone, spot, self.now, MachineState.BOOTING)
+        machine = self.cluster_state.add_machine(name, kind, zone, spot, self.now, MachineState.BOOTING)
         machine.move(MachineState.READY)
-        machine.enlist()
+        machine.mark_rostered()
 
     def _pick(self, number: int) -> Machine:
-        machines = list(self.book.pool)
+        machines = list(self.cluster_state.pool)
         return machines[number % len(machines)]
 
     def _run(self, spec: JobSpec) -> JobRun:
         run = JobRun(spec, JobRecord(spec, JobStatus.RUNNING, 1), TaskSet(50), TaskSet(50))
-        self.book.runs[spec.job] = run
+        self.cluster_state.runs[spec.job] = run
         return run
 
     @rule(at=st.integers(0, 99), urgent=st.booleans(), cpus=st.sampled_from([2.5, 7.0]), cards=st.booleans())
@@ -69,8 +69,8 @@
         machine = self._pick(at)
         self.numbers += 1
         spec = _spec(100 + self.numbers, URGENT if urgent else ROUTINE, cpus, 1.0 if cards else 0.0)
-        if machine.state is MachineState.READY and machine.room_for(spec):
-            self.book.enter(self._run(spec), Placement(spec, 0, 1, machine, TaskState.SENT, self.now))
+        if machine.state is MachineState.READY and machine.tasks_that_fit(spec):
+            self.cluster_state.add_placement(self._run(spec), Placement(spec, 0, 1, machine, TaskState.SENT, self.now))
 
     @rule(at=st.integers(0, 99), which=st.integers(0, 99), step=st.sampled_from([TaskState.RUNNING, None]))
     def go_on(self, at: int, which: int, step: TaskState | None) -> None:
@@ -78,27 +78,27 @@
         if live:
             placement = live[which % len(live)]
             if step is None:
-                self.book.gone(placement, self.now)
+                self.cluster_state.task_gone(placement, self.now)
             else:
-                self.book.move(placement, step, self.now)
+                self.cluster_state.move_task(placement, step, self.now)
 
     @rule(at=st.integers(0, 99), which=st.integers(0, 99))
     def stop(self, at: int, which: int) -> None:
         live = list(self._pick(at).live.values())
         if live:
-            self.book.stop(live[which % len(live)], timedelta(0), self.now)
+            self.cluster_state.stop_task(live[which % len(live)], timedelta(0), self.now)
 
     @rule(at=st.integers(0, 99), count=st.integers(1, 3))
     def keep_room(self, at: int, count: int) -> None:
         self.numbers += 1
         run = self._run(_spec(100 + self.numbers, URGENT, 5.0))
-        self.book.book(run, {self._pick(at): count}, self.now)
+        self.cluster_state.reserve(run, {self._pick(at): count}, self.now)
         self.booked.append(run)
 
     @rule()
     def give_room_up(self) -> None:
         if self.booked:
-            self.book.unbook(self.booked.pop(0))
+            self.cluster_state.release_reservation(self.booked.pop(0))
 
     @rule(at=st.integers(0, 99))
     def leave(self, at: int) -> None:
@@ -109,10 +109,10 @@
     @rule(at=st.integers(0, 99))
     def replace(self, at: int) -> None:
         machine = self._pick(at)
-        if any(machine in run.booked for run in self.booked):
+        if any(machine in run.reserved for run in self.booked):
             return
         machine.move(MachineState.RETURNING)
-        self.book.remove_machine(machine, self.now)
+        self.cluster_state.remove_machine(machine, self.now)
         self.numbers += 1
         self._add(f"n-{self.numbers + MACHINES}", self.numbers)
 
@@ -123,15 +123,15 @@
     @invariant()
     def same_as_going_through_all(self) -> None:
         for spec in ASKED:
-            need = self.book.pool.need(spec)
+            index = self.cluster_state.pool.capacity(spec)
             rank = spec.priority.rank
             expected: dict[str, tuple[int, int]] = {}
-            for machine in self.book.pool:
+            for machine in self.cluster_state.pool:
                 if machine.state is not MachineState.READY:
                     continue
                 if not allows(spec, machine.type, machine.zone, machine.spot):
                     continue
-                free = machine.room_for(spec)
+                free = machine.tasks_that_fit(spec)
                 cpus, gpus, memory = machine.free()
                 for placement in machine.live.values():
                     if placement.spec.priority.rank > rank:
@@ -140,11 +140,11 @@
                 more = fits(spec, cpus, gpus, memory) - free
                 if free or more:
                     expected[machine.name] = (free, more)
-            assert {name: (p.free, p.stopping) for name, p in need.places.items()} == expected
-            assert set(need.free) == {name for name, (free, _) in expected.items() if free}
+            assert {name: (p.free, p.by_stopping) for name, p in index.places.items()} == expected
+            assert set(index.free) == {name for name, (free, _) in expected.items() if free}
             total = sum(free + more for free, more in expected.values())
-            assert sum(places.all for _, places in need.sums()) == total
-            ranked = [machine.name for machine in need.by_loss(self.now)]
+            assert sum(places.total for _, places in index.totals()) == total
+            ranked = [machine.name for machine in index.by_stop_cost(self.now)]
             assert sorted(ranked) == sorted(name for name, (_, more) in expected.items() if more)
 
 
@@ -154,7 +154,7 @@
 
 def test_only_so_many_kinds_are_kept() -> None:
     """Jobs whose tasks differ each by a little must not make every change of a machine dearer for good."""
-    book = Book(1, [TeamFacts("red")])
-    for number in range(3 * MOST_NEEDS):
-        book.pool.need(_spec(number, URGENT, 1.0 + number / 100))
-    assert len(book.pool._needs._needs) == MOST_NEEDS
+    cluster_state = ClusterState(1, [TeamFacts("red")])
+    for number in range(3 * MAX_INDEXES):
+        cluster_state.pool.capacity(_spec(number, URGENT, 1.0 + number / 100))
+    assert len(cluster_state.pool._capacity_indexes._indexes) == MAX_INDEXES
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,8 +7,15 @@
 
 import msgspec
 
-from gingerspar.coordination.cluster.job_order import Turns
-from gingerspar.coordination.jobs.claims import CLAIM_BY, Change, Claims, Held, claimed, with_results
+from gingerspar.coordination.cluster.job_order import JobOrder
+from gingerspar.coordination.jobs.claims import (
+    CLAIM_BY,
+    ClaimedResources,
+    ClaimManager,
+    RecordChange,
+    claimed,
+    with_results,
+)
 from gingerspar.coordination.jobs.reconciler import lapsed
 from gingerspar.protocol import messages
 from gingerspar.protocol.messages import JobStatus, KeyVersion, Priority
@@ -58,7 +65,7 @@
         value = msgspec.json.decode(records.pack(record))
         assert self.state.commit({"Writes": [{"Put": key, "Data": value}]}).status == 200
 
-    def _claims(self, node: str) -> Claims:
+    def _claims(self, node: str) -> ClaimManager:
         client: Any = _Client(self.state)
         view = WatchedView(client, Clock(), rps=100, nodes=3)
         self.read(view)
@@ -72,8 +79,8 @@
             return True
 
         view.barrier = barrier  # type: ignore[method-assign]
-        claims = Claims(node, client, view, session, Clock(), {}, OperatorSettings(), Turns())
-        claims.accepted("wk-000001")
+        claims = ClaimManager(node, client, view, session, Clock(), {}, OperatorSettings(), JobOrder())
+        claims.add_accepted("wk-000001")
         view.on_job.append(claims._job_changed)
         claims._job_changed("wk-000001")
         return claims
@@ -85,16 +92,16 @@
     def end_session(self, node: str) -> None:
         del self.state.keys[records.node_key(node)]
 
-    def claim(self, who: Claims) -> bool:
+    def claim(self, who: ClaimManager) -> bool:
         self.read(who._view)
         return asyncio.run(who._write(who._next_claims(timedelta(0)), Urgency.CLAIM, hand_over=True))
 
-    def result(self, who: Claims, tasks: set[int]) -> Change:
+    def result(self, who: ClaimManager, tasks: set[int]) -> RecordChange:
         change = with_results(who._view.jobs["wk-000001"], tasks, 8192)
         assert change is not None
         return change
 
-    def write(self, who: Claims, change: Change) -> bool:
+    def write(self, who: ClaimManager, change: RecordChange) -> bool:
         return asyncio.run(who._write([change], Urgency.RESULT))
 
     def sweep(self) -> None:
@@ -190,7 +197,7 @@
     for seconds in waited:
         entry = world.a._view.jobs["wk-000001"]
         entry.record = msgspec.structs.replace(entry.record, submitted=just_now - seconds)
-        world.a.accepted("wk-000001")
+        world.a.add_accepted("wk-000001")
         found.append([change.job for change in world.a._next_claims(timedelta(0))])
     assert found == [[], ["wk-000001"]]
 
@@ -202,7 +209,7 @@
         spec = messages.parse_job(job(number, **changes))
         return Versioned(JobRecord(spec, status), 1, records.TaskSet(spec.tasks))
 
-    held = Held()
+    held = ClaimedResources()
     held.see("wk-000001", entry(1, JobStatus.RUNNING, Pieces=4))
     held.see("wk-000009", entry(9, JobStatus.PENDING, Pieces=9))
     assert held.over_limit(teams, entry(2, JobStatus.PENDING))
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gingerspar.coordination.membership.term import authority_span
+from gingerspar.coordination.membership.term import authority_duration
 from gingerspar.protocol.settings import WorkerFacts
 from tests.standins.cloud import settle
 from tests.standins.cluster import NAMES, Cluster, job
@@ -49,7 +49,7 @@
 async def _cancelled_behind_its_back(cancel_s: float, *, links: bool, direct: bool) -> None:
     cluster = await started(cancel_s, jobs=3)
     clock = asyncio.get_running_loop().time
-    span = authority_span(WorkerFacts(report_s=0.3, lease_s=LEASE, cancel_s=cancel_s)).total_seconds()
+    span = authority_duration(WorkerFacts(report_s=0.3, lease_s=LEASE, cancel_s=cancel_s)).total_seconds()
     try:
         for number in (1, 2):  # twice in a row, the second time perhaps with another leader
             leader, others = leader_and_others(cluster)
@@ -230,7 +230,7 @@
             await cluster.kill(name)
         await asyncio.sleep(0.4)
         cluster.start_node("n1")
-        assert await settle(lambda: cluster.nodes["n1"][0]._keeper.dispatching(), 4), (
+        assert await settle(lambda: cluster.nodes["n1"][0]._term_manager.is_dispatching(), 4), (
             "the one that is back commands not"
         )
         for name in ("n0", "n2"):
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from gingerspar.coordination.leader.dispatcher import Dispatcher
-from gingerspar.coordination.leader.leader_runtime import CommandPost
-from gingerspar.coordination.leader.load_monitor import Strain
+from gingerspar.coordination.leader.leader_runtime import LeaderRuntime
+from gingerspar.coordination.leader.load_monitor import LoadMonitor
 from gingerspar.protocol import messages
 from gingerspar.protocol.messages import MachineType, Malformed, Report
 from gingerspar.protocol.settings import OperatorSettings, WorkerFacts
@@ -75,29 +75,29 @@
     return report
 
 
-def _post() -> CommandPost:
+def _post() -> LeaderRuntime:
     dispatcher = Dispatcher(1, timedelta(0), WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43), [])
     dispatcher.set_types([MachineType("big", 16, 64, zones=("a",), price=1.0, boot_s=20)])
     view: Any = SimpleNamespace(on_job=[], final={}, roster={}, age=lambda: timedelta(0), final_spec=lambda job: None)
     rest: Any = SimpleNamespace()
-    return CommandPost(
+    return LeaderRuntime(
         "n1", dispatcher, rest, view, rest, rest, Clock(), rest, OperatorSettings(),
         lambda: True, lambda node, jobs: None, lambda node, job, attempt: None,
-        lambda: Answer(421, b"{}"), lambda: None, Strain(Clock()), Random(1),
+        lambda: Answer(421, b"{}"), lambda: None, LoadMonitor(Clock()), Random(1),
     )  # fmt: skip
 
 
-async def _status(post: CommandPost, body: bytes) -> int:
+async def _status(runtime: LeaderRuntime, body: bytes) -> int:
     try:
         report = messages.decode(Report, body)
     except Malformed:
         return 400
-    answer = post.report(report)
+    answer = runtime.handle_report(report)
     if isinstance(answer, Answer):
         return answer.status
-    post.dispatcher.tick(timedelta(seconds=5), timedelta(seconds=5))
-    for hold in list(post._holds.values()):
-        post._release(hold)  # held back, and let go when its time is over
+    runtime.dispatcher.tick(timedelta(seconds=5), timedelta(seconds=5))
+    for hold in list(runtime._holds.values()):
+        runtime._release(hold)  # held back, and let go when its time is over
     return (await answer).status
 
 
@@ -110,15 +110,15 @@
 
 
 async def _answer_all(reports: list[dict[str, Any]]) -> None:
-    post = _post()
+    runtime = _post()
     for report in reports:
-        known = set(post.dispatcher.machines)
-        status = await _status(post, msgspec.json.encode(report) if _encodable(report) else b"{")
+        known = set(runtime.dispatcher.machines)
+        status = await _status(runtime, msgspec.json.encode(report) if _encodable(report) else b"{")
         assert status in (200, 400, 421, 503)
         if status == 400:
-            assert set(post.dispatcher.machines) == known
-        post.dispatcher.tick(timedelta(seconds=1), timedelta(seconds=1))
-        post.dispatcher.place(timedelta(seconds=1))
+            assert set(runtime.dispatcher.machines) == known
+        runtime.dispatcher.tick(timedelta(seconds=1), timedelta(seconds=1))
+        runtime.dispatcher.place_tasks(timedelta(seconds=1))
 
 
 @settings(max_examples=100, derandomize=True, deadline=None)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,4 +24,4 @@
     controller._hand_over("wk-000001", 11, record)
     assert len(sent) == 1
     assert not link.send("n0", b"to itself")
-    assert not link.up("nobody")
+    assert not link.is_up("nobody")
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -7,31 +7,31 @@
 import msgspec
 import pytest
 
-from gingerspar.coordination.jobs.job_api import MOST_WAITING, POLL_WAIT, STATE_GONE, WRITE_WAIT, FrontDoor
+from gingerspar.coordination.jobs.job_api import MOST_WAITING, POLL_WAIT, STATE_UNAVAILABLE_AFTER, WRITE_WAIT, JobApi
 from gingerspar.protocol.messages import MachineType
 from gingerspar.protocol.settings import TeamFacts
 from gingerspar.storage.view import Phase, WatchedView
 from gingerspar.transport.clock import Clock
-from gingerspar.transport.server import Answer, settled
+from gingerspar.transport.server import Answer, resolve_answer
 from tests.standins.cluster import job
 
 
-def _door(write_rate: float) -> FrontDoor:
+def _job_api(write_rate: float) -> JobApi:
     clock = Clock()
     client: Any = SimpleNamespace(write_rate=write_rate, most_puts=8)
     view = WatchedView(client, clock, rps=100, nodes=3)
     view.phase, view.read_sent = Phase.FOLLOWING, clock.now()
     claims: Any = SimpleNamespace()
-    door = FrontDoor(client, view, claims, clock, {"red": TeamFacts("red")})
+    job_api = JobApi(client, view, claims, clock, {"red": TeamFacts("red")})
     kind = MachineType(name="big", zones=("z",), cpus=96, gpus=8, memory_gb=384, price=1.0)
-    door.types = lambda: {kind.name: kind}
-    return door
+    job_api.types = lambda: {kind.name: kind}
+    return job_api
 
 
 async def _crowd(write_rate: float, users: int) -> list[tuple[int, str | None]]:
     """What each of the users has been answered a moment after all have come at once."""
-    door = _door(write_rate)
-    waiting = [asyncio.ensure_future(door.submit(msgspec.json.encode(job(n)))) for n in range(users)]
+    job_api = _job_api(write_rate)
+    waiting = [asyncio.ensure_future(job_api.submit(msgspec.json.encode(job(n)))) for n in range(users)]
     await asyncio.sleep(0.05)
     answers = [task.result() for task in waiting if task.done()]
     for task in waiting:
@@ -52,14 +52,14 @@
 
 
 async def _while_the_state_service_is_gone(path: str) -> tuple[int, str | None, bool]:
-    door = _door(25.0)
-    door._view.read_sent -= STATE_GONE * 2
+    job_api = _job_api(25.0)
+    job_api._view.read_sent -= STATE_UNAVAILABLE_AFTER * 2
     loop = asyncio.get_running_loop()
     begun = loop.time()
     if path == "submit":
-        answer = await door.submit(msgspec.json.encode(job(1)))
+        answer = await job_api.submit(msgspec.json.encode(job(1)))
     else:
-        answer = await settled(door.ask("wk-000001") if path == "ask" else door.cancel("wk-000001"))
+        answer = await resolve_answer(job_api.status("wk-000001") if path == "ask" else job_api.cancel("wk-000001"))
     return answer.status, answer.headers.get("Retry-After"), loop.time() - begun < 0.5
 
 
@@ -74,12 +74,12 @@
 
     The reads are the test's own: what was asked before one was sent may be answered by it.
     """
-    door = _door(25.0)
-    view = door._view
-    expiring = asyncio.ensure_future(door.run_questions())
-    asked: list[Answer | asyncio.Future[Answer]] = [door.ask("wk-000001"), door.ask("wk-000002")]
+    job_api = _job_api(25.0)
+    view = job_api._view
+    expiring = asyncio.ensure_future(job_api.run_status_requests())
+    asked: list[Answer | asyncio.Future[Answer]] = [job_api.status("wk-000001"), job_api.status("wk-000002")]
     served, view._barriers, view._shared = view._barriers, [], None  # the first read is sent
-    asked.append(door.ask("wk-000001"))
+    asked.append(job_api.status("wk-000001"))
     by: list[tuple[int, int] | None] = [None] * 3
     for read in (1, 2):
         for future in served:
--- a/tests/test_leader_runtime.py
+++ b/tests/test_leader_runtime.py
@@ -17,12 +17,12 @@
     HOLD_IDLE,
     HOLD_MOST,
     HOLD_STRAINED,
-    CommandPost,
+    LeaderRuntime,
     _hold_for,
     longest_hold,
 )
-from gingerspar.coordination.leader.load_monitor import Strain, StrainState
-from gingerspar.coordination.machines.cloud import Cloud, NotEntitled
+from gingerspar.coordination.leader.load_monitor import LoadMonitor, LoadState
+from gingerspar.coordination.machines.cloud import CloudClient, NotPermitted
 from gingerspar.protocol.messages import (
     JobSpec,
     JobStatus,
@@ -45,7 +45,7 @@
         self.returned: list[str] = []
         self.rented = 0
 
-    async def give_back(self, machines: list[str], permit: Callable[[], bool]) -> None:
+    async def return_machines(self, machines: list[str], permit: Callable[[], bool]) -> None:
         assert permit()
         self.returned += machines
 
@@ -55,14 +55,14 @@
         return ["n-2"]
 
 
-def _post(cloud: Any, dispatcher: Dispatcher, age: list[timedelta]) -> CommandPost:
+def _runtime(cloud: Any, dispatcher: Dispatcher, age: list[timedelta]) -> LeaderRuntime:
     view: Any = SimpleNamespace(on_job=[], final={}, roster={}, age=lambda: age[0], final_spec=lambda job: None)
     rest: Any = SimpleNamespace()
     facts: Any = SimpleNamespace(cloud=SimpleNamespace(list_lag=timedelta(seconds=3)))
-    return CommandPost(
+    return LeaderRuntime(
         "n1", dispatcher, rest, view, rest, cloud, Clock(), facts, OperatorSettings(),
         lambda: True, lambda node, jobs: None, lambda node, job, attempt: None,
-        lambda: Answer(421, b"{}"), lambda: None, Strain(Clock()), Random(1),
+        lambda: Answer(421, b"{}"), lambda: None, LoadMonitor(Clock()), Random(1),
     )  # fmt: skip
 
 
@@ -73,11 +73,11 @@
     """Asks for a return and a rental while the last read of the state is ``age`` old."""
     cloud = _Cloud()
     dispatcher = Dispatcher(1, timedelta(0), WORKERS, [])
-    machine = dispatcher.book.add_machine("n-1", "big", "a", False, timedelta(0), MachineState.LOST)
+    machine = dispatcher.cluster_state.add_machine("n-1", "big", "a", False, timedelta(0), MachineState.LOST)
     machine.move(MachineState.RETURNING)
-    post = _post(cloud, dispatcher, age)
-    returning = asyncio.ensure_future(post._give_back([machine]))
-    await post._rent(("big", "a", False), 1)
+    runtime = _runtime(cloud, dispatcher, age)
+    returning = asyncio.ensure_future(runtime._give_back([machine]))
+    await runtime._rent(("big", "a", False), 1)
     await asyncio.sleep(0.05)
     assert returning.done() == bool(cloud.returned)
     returning.cancel()
@@ -100,15 +100,15 @@
     dispatcher = Dispatcher(
         2, timedelta(0), WORKERS, [], roster=[("n-1", "big", "a", False), ("n-2", "big", "a", False)]
     )
-    dispatcher.book.add_machine("n-3", "big", "a", False, timedelta(0), MachineState.BOOTING)
+    dispatcher.cluster_state.add_machine("n-3", "big", "a", False, timedelta(0), MachineState.BOOTING)
     report = Report("n-1", "10.0.0.9:1", "big", "a", 1, 7, 2, False, None, msgspec.Raw(b"[]"))
-    dispatcher.report(report, timedelta(seconds=1))
+    dispatcher.handle_report(report, timedelta(seconds=1))
 
     async def machines() -> list[ListedMachine]:
         return [ListedMachine(name, "big", "a", MachineStatus.FAILED) for name in ("n-1", "n-2", "n-3")]
 
-    post = _post(SimpleNamespace(machines=machines), dispatcher, [timedelta(0)])
-    listing = asyncio.ensure_future(post._run_list())
+    runtime = _runtime(SimpleNamespace(machines=machines), dispatcher, [timedelta(0)])
+    listing = asyncio.ensure_future(runtime._run_list())
     await asyncio.sleep(0.05)
     listing.cancel()
     return dispatcher
@@ -131,15 +131,15 @@
     server = Server(answer)
     server.listen(18931, "127.0.0.1")
     try:
-        cloud = Cloud("127.0.0.1:18931", Clock(), rps=20.0)
-        cloud._budget.drain(timedelta(seconds=0.1))
+        cloud = CloudClient("127.0.0.1:18931", Clock(), rps=20.0)
+        cloud._budget.block(timedelta(seconds=0.1))
         entitled = [True]
         order = asyncio.ensure_future(cloud.rent(RentRequest("t1-1", "big", "a", False, 1), lambda: entitled[0]))
         await asyncio.sleep(0.02)
         entitled[0] = False  # it stood still, and when it goes on another node holds the term
         try:
             await order
-        except NotEntitled:
+        except NotPermitted:
             pass
         else:
             raise AssertionError("the order was given")
@@ -157,35 +157,35 @@
 
 
 def test_overload_is_entered_and_left_once() -> None:
-    strain = Strain(Clock())
+    load_monitor = LoadMonitor(Clock())
     now = timedelta(0)
-    seen = [strain.state]
+    seen = [load_monitor.state]
     for late_ms in [5] * 20 + [300] * 20 + [60] * 20 + [5] * 60:
         now += timedelta(seconds=0.1)
-        strain.pulse(timedelta(milliseconds=late_ms), now)
-        if strain.state is not seen[-1]:
-            seen.append(strain.state)
-    assert seen == [StrainState.EASY, StrainState.OVERLOADED, StrainState.EASY]
+        load_monitor.record_lateness(timedelta(milliseconds=late_ms), now)
+        if load_monitor.state is not seen[-1]:
+            seen.append(load_monitor.state)
+    assert seen == [LoadState.NORMAL, LoadState.OVERLOADED, LoadState.NORMAL]
 
 
 def test_standing_still_once_is_no_overload() -> None:
     """Its clocks ran on for 24 s; afterwards it has as much of its processor as before."""
-    strain = Strain(Clock())
-    strain.pulse(timedelta(seconds=24), timedelta(seconds=24))
-    assert strain.state is StrainState.EASY
+    load_monitor = LoadMonitor(Clock())
+    load_monitor.record_lateness(timedelta(seconds=24), timedelta(seconds=24))
+    assert load_monitor.state is LoadState.NORMAL
     for step in range(1, 20):
-        strain.pulse(timedelta(0), timedelta(seconds=24 + 0.1 * step))
-    assert strain.lateness < timedelta(milliseconds=10)
+        load_monitor.record_lateness(timedelta(0), timedelta(seconds=24 + 0.1 * step))
+    assert load_monitor.lateness < timedelta(milliseconds=10)
 
 
 def test_deciding_takes_a_smaller_share_under_overload() -> None:
-    strain = Strain(Clock())
+    load_monitor = LoadMonitor(Clock())
     spent, least = timedelta(milliseconds=30), timedelta(milliseconds=20)
-    easy = strain.pause_after(spent, {StrainState.EASY: 0.5, StrainState.OVERLOADED: 0.25}, least)
-    strain.state = StrainState.OVERLOADED
-    hard = strain.pause_after(spent, {StrainState.EASY: 0.5, StrainState.OVERLOADED: 0.25}, least)
+    easy = load_monitor.pause_after(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least)
+    load_monitor.state = LoadState.OVERLOADED
+    hard = load_monitor.pause_after(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least)
     assert (easy, hard) == (spent, spent * 3)
-    assert strain.pause_after(timedelta(0), {StrainState.EASY: 0.5, StrainState.OVERLOADED: 0.25}, least) == least
+    assert load_monitor.pause_after(timedelta(0), {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least) == least
 
 
 def test_two_held_answers_and_a_lost_one_fit_into_a_lease() -> None:
@@ -198,24 +198,24 @@
 
 def test_answers_are_held_as_long_as_nothing_urgent_waits_for_them() -> None:
     """Machines full of short tasks reported twice a second, a thousand reports in all."""
-    book = Dispatcher(1, timedelta(0), WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43), []).book
-    book.set_types([MachineType("big", 16, 64, zones=("a",), price=1.0, boot_s=20)])
-    machine = book.add_machine("n-1", "big", "a", False, timedelta(0), MachineState.BOOTING)
+    cluster_state = Dispatcher(1, timedelta(0), WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43), []).cluster_state
+    cluster_state.set_types([MachineType("big", 16, 64, zones=("a",), price=1.0, boot_s=20)])
+    machine = cluster_state.add_machine("n-1", "big", "a", False, timedelta(0), MachineState.BOOTING)
     assert _hold_for(machine, 600, False) == HOLD_IDLE
     spec = JobSpec("wk-000001", "c", "red", Shape.ARRAY, Priority.NORMAL, 2, 4.0, 8.0)
     run = JobRun(spec, JobRecord(spec, JobStatus.RUNNING), TaskSet(2), TaskSet(2))
-    book.runs[spec.job] = run
+    cluster_state.runs[spec.job] = run
     placement = Placement(spec, 0, 1, machine, TaskState.FETCHING, timedelta(0))
-    book.enter(run, placement)
+    cluster_state.add_placement(run, placement)
     # With few machines nothing is gained by waiting; with many it keeps their reports to 375 a second.
     for state in (TaskState.FETCHING, TaskState.RUNNING):
-        book.move(placement, state, timedelta(1))
+        cluster_state.move_task(placement, state, timedelta(1))
         assert _hold_for(machine, 30, False) == HOLD_BUSY
         assert _hold_for(machine, 600, False) == timedelta(seconds=1.6)
         assert _hold_for(machine, 5000, False) == HOLD_MOST
         assert _hold_for(machine, 30, True) == HOLD_STRAINED
-    machine.book(spec, 1)
+    machine.reserve(spec, 1)
     assert _hold_for(machine, 600, True) == HOLD_BUSY  # a gang waits for room here
-    machine.book(spec, -1)
-    book.stop(placement, timedelta(0), timedelta(1))
+    machine.reserve(spec, -1)
+    cluster_state.stop_task(placement, timedelta(0), timedelta(1))
     assert _hold_for(machine, 600, True) == HOLD_BUSY  # somebody waits for its end
--- a/tests/test_process_restarts.py
+++ b/tests/test_process_restarts.py
@@ -8,11 +8,11 @@
 import pytest
 from tornado import iostream
 
-from gingerspar.coordination.jobs.claims import Change, released
-from gingerspar.coordination.jobs.relay import Relays
+from gingerspar.coordination.jobs.claims import RecordChange, released
+from gingerspar.coordination.jobs.relay import RequestRelay
 from gingerspar.protocol import peers
 from gingerspar.storage.budgets import Urgency
-from gingerspar.transport.client import Client, Unanswered
+from gingerspar.transport.client import Client, NoAnswer
 from gingerspar.transport.clock import Clock
 from gingerspar.transport.server import Answer, Server
 from tests.standins.cluster import free_port
@@ -34,17 +34,17 @@
     """Both ask the same peer; the answer to the first one's question comes to the second."""
     link: Any = _Link()
     no_serve: Any = SimpleNamespace()
-    former = asyncio.ensure_future(Relays("n1", link, no_serve).ask("n2", "GET", "/v1/jobs/wk-000001", b""))
+    former = asyncio.ensure_future(RequestRelay("n1", link, no_serve).forward("n2", "GET", "/v1/jobs/wk-000001", b""))
     await asyncio.sleep(0)
     former.cancel()
-    present = Relays("n1", link, no_serve)
-    asked = asyncio.ensure_future(present.ask("n2", "GET", "/v1/jobs/wk-000002", b""))
+    present = RequestRelay("n1", link, no_serve)
+    asked = asyncio.ensure_future(present.forward("n2", "GET", "/v1/jobs/wk-000002", b""))
     await asyncio.sleep(0)
     first, second = link.sent
-    present.answered(peers.Relayed("n2", first.number, 200, "of wk-000001"))
+    present.handle_answer(peers.Relayed("n2", first.number, 200, "of wk-000001"))
     await asyncio.sleep(0)
     assert not asked.done()
-    present.answered(peers.Relayed("n2", second.number, 200, "of wk-000002"))
+    present.handle_answer(peers.Relayed("n2", second.number, 200, "of wk-000002"))
     return await asked
 
 
@@ -65,7 +65,7 @@
     """On the connection that it has kept; a new one is not opened."""
     try:
         return (await client.request("GET", "/up"))[0] == 200
-    except Unanswered:
+    except NoAnswer:
         return False
 
 
@@ -121,10 +121,10 @@
         super().__init__()
         self.former, self.a = self.a, self._claims("A")
 
-    def late(self, change: Change, *, claim: bool = False) -> bool:
+    def late(self, change: RecordChange, *, claim: bool = False) -> bool:
         return asyncio.run(self.former._write([change], Urgency.CLAIM, hand_over=claim))
 
-    def to_claim(self) -> Change:
+    def to_claim(self) -> RecordChange:
         return self.former._next_claims(timedelta(0))[0]
 
     def seen(self) -> tuple[str, int]:
@@ -167,8 +167,8 @@
     assert lives.claim(lives.a)
     lives.read(lives.former._view)
     entry = lives.former._view.jobs["wk-000001"]
-    assert lives.late(Change("wk-000001", entry.version, released(entry)))
+    assert lives.late(RecordChange("wk-000001", entry.version, released(entry)))
     assert lives.seen() == ("pending", 1)
-    lives.a.accepted("wk-000001")
+    lives.a.add_accepted("wk-000001")
     assert lives.claim(lives.a)
     assert lives.seen() == ("running", 2)
--- a/tests/test_random_failures.py
+++ b/tests/test_random_failures.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.standins.cluster import Cluster
-from tests.standins.failures import Troubles
+from tests.standins.failures import RandomFailures
 from tests.standins.simulated_time import SimulatedClock, play
 from tests.standins.users import Users
 
@@ -36,7 +36,7 @@
         cluster.cloud.startup_s, cluster.idle_return_s = 15.0, 60.0
     cluster.start()
     users = Users(cluster, random)
-    troubles = Troubles(cluster, users, random, more=more)
+    troubles = RandomFailures(cluster, users, random, more=more)
     watches = [asyncio.ensure_future(users.probe()), asyncio.ensure_future(users.watch_waiting())]
     try:
         users.begin(MORE_JOBS if more else JOBS, SUBMITTED_WITHIN, cancelled=0.3)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from gingerspar.coordination.cluster.expected_releases import Spans
+from gingerspar.coordination.cluster.expected_releases import RunTimes
 from gingerspar.coordination.cluster.machine import Machine, MachineState
 from gingerspar.coordination.leader.dispatcher import Dispatcher
 from gingerspar.coordination.machines.roster import plan_groups
@@ -45,9 +45,9 @@
         self.seqs: dict[str, int] = {}
         for number in range(machines):
             name = f"n-{number:06d}"
-            self.dispatcher.book.add_machine(name, "box", "a", False, NOW, MachineState.BOOTING)
-            self.dispatcher.report(_report(name, 1, []), NOW)
-            self.dispatcher.machines[name].enlist()
+            self.dispatcher.cluster_state.add_machine(name, "box", "a", False, NOW, MachineState.BOOTING)
+            self.dispatcher.handle_report(_report(name, 1, []), NOW)
+            self.dispatcher.machines[name].mark_rostered()
             self.seqs[name] = 1
 
     def job(
@@ -66,15 +66,15 @@
         """Machines looked at until everything has been looked at."""
         before = self.dispatcher.pool.looked_at
         for _ in range(1000):
-            self.dispatcher.place(self.now)
-            if not self.dispatcher.dirty:
+            self.dispatcher.place_tasks(self.now)
+            if not self.dispatcher.needs_placement:
                 break
         return self.dispatcher.pool.looked_at - before
 
     def answer(self, machine: Machine, tasks: list[TaskReport]) -> None:
         self.seqs[machine.name] += 1
         report = _report(machine.name, self.seqs[machine.name], tasks)
-        self.dispatcher.commands(self.dispatcher.report(report, self.now), report, self.now)
+        self.dispatcher.take_commands(self.dispatcher.handle_report(report, self.now), report, self.now)
 
     def end_one(self, machine: Machine) -> None:
         """The machine reports that the first of its tasks is done."""
@@ -89,7 +89,9 @@
     fleet = Fleet()
     fleet.job(1, MACHINES * PER_MACHINE)
     assert fleet.place() <= 2 * MACHINES
-    assert all(machine.room_for(fleet.dispatcher.runs["wk-000001"].spec) == 0 for machine in fleet.dispatcher.pool)
+    assert all(
+        machine.tasks_that_fit(fleet.dispatcher.runs["wk-000001"].spec) == 0 for machine in fleet.dispatcher.pool
+    )
     waiting = 200
     for number in range(2, 2 + waiting):
         fleet.job(number, 10)
@@ -133,7 +135,7 @@
         fleet.now += timedelta(seconds=0.1)
         if step % 5 == 0:
             fleet.end_one(fleet.dispatcher.machines[f"n-{step % machines:06d}"])
-        fleet.dispatcher.dirty = True
+        fleet.dispatcher.needs_placement = True
         looks += fleet.place()
     assert sum(bool(run.places) for run in fleet.dispatcher.runs.values()) <= 1 + seconds * 2
     return looks
@@ -154,8 +156,8 @@
     jobs = 3 * placer.MOST_LOOKS // MACHINES
     for number in range(1, jobs + 1):
         fleet.job(number, 1)
-    fleet.dispatcher.place(NOW)
-    assert fleet.dispatcher.dirty
+    fleet.dispatcher.place_tasks(NOW)
+    assert fleet.dispatcher.needs_placement
     placed = [number for number in range(1, jobs + 1) if fleet.dispatcher.runs[f"wk-{number:06d}"].places]
     assert placed == list(range(1, len(placed) + 1))
     fleet.place()
@@ -189,10 +191,10 @@
     machine = fleet.dispatcher.machines["n-000003"]
     machine.move(MachineState.LEAVING)
     assert len(pool.with_room(spec)) == MACHINES - 1
-    fleet.dispatcher.machines["n-000004"].book(spec, 1)
+    fleet.dispatcher.machines["n-000004"].reserve(spec, 1)
     assert len(pool.with_room(spec)) == MACHINES - 2
-    fleet.dispatcher.lost(machine, "test", NOW)
-    assert pool.among(MachineState.LOST) == [machine]
+    fleet.dispatcher.machine_lost(machine, "test", NOW)
+    assert pool.in_states(MachineState.LOST) == [machine]
 
 
 def test_machines_lost_by_the_hundred() -> None:
@@ -207,7 +209,7 @@
         for machine in others:
             fleet.answer(machine, [TaskReport(p.name, p.attempt, TaskStatus.RUNNING) for p in machine.live.values()])
         fleet.dispatcher.tick(fleet.now, fleet.now)
-    assert fleet.dispatcher.pool.among(MachineState.LOST) == silent
+    assert fleet.dispatcher.pool.in_states(MachineState.LOST) == silent
     # One look at each machine finds all the room there is; nothing is sent before the leases are over.
     assert fleet.place() <= 2 * MACHINES
     assert not fleet.dispatcher.runs["wk-000001"].open
@@ -215,26 +217,26 @@
     for machine in silent:
         report = _report(machine.name, 50, [])
         report.session = 2
-        fleet.dispatcher.report(report, fleet.now)
-    assert not fleet.dispatcher.pool.among(MachineState.LOST)
+        fleet.dispatcher.handle_report(report, fleet.now)
+    assert not fleet.dispatcher.pool.in_states(MachineState.LOST)
     assert fleet.place() <= MACHINES
 
 
 def test_what_comes_free_follows_every_task() -> None:
     """Kept in order as tasks start and leave, it has to say what going through all of them would."""
     fleet = Fleet(40)
-    book = fleet.dispatcher.book
+    cluster_state = fleet.dispatcher.cluster_state
     for number in range(1, 9):
         fleet.job(number, 15 + number, cpus=3.0 + number / 4)
     fleet.place()
     machines = list(fleet.dispatcher.machines.values())
-    spans = Spans(book.estimates.run_time)
+    spans = RunTimes(cluster_state.estimates.run_time)
     for step, machine in enumerate(machines * 3):
         fleet.now += timedelta(seconds=0.7)
         if machine.state is not MachineState.READY:
             continue
         if step % 11 == 10:
-            fleet.dispatcher.lost(machine, "test", fleet.now)
+            fleet.dispatcher.machine_lost(machine, "test", fleet.now)
         else:
             if not any(p.running_since is not None for p in machine.live.values()):
                 fleet.answer(machine, [])
@@ -247,7 +249,10 @@
             by = fleet.now + timedelta(seconds=step % 70)
             live = [p for m in machines for p in m.live.values() if p.running_since is not None]
             expected = sum(p.spec.cpus for p in live if p.running_since + spans.of(p.spec) <= by)
-            found = sum(book.ends.released(offer, by, spans).cpus for offer in book.ends.offers())
+            found = sum(
+                cluster_state.expected_releases.released(offer, by, spans).cpus
+                for offer in cluster_state.expected_releases.offers()
+            )
             assert abs(found - expected) < 1e-6
             assert live
 
@@ -260,12 +265,12 @@
     fleet.place()
     fleet.answer(machine, [])
     taken: list[int] = []
-    done = fleet.dispatcher.book.done
-    fleet.dispatcher.book.done = lambda run, number: bool(taken.append(number)) or done(run, number)  # type: ignore
+    done = fleet.dispatcher.cluster_state.task_done
+    fleet.dispatcher.cluster_state.task_done = lambda run, number: bool(taken.append(number)) or done(run, number)  # type: ignore
     listed = [TaskReport("wk-000001/0", 1, TaskStatus.EXITED, Cause.DONE)]
     for number in (1, 2, 3):
         fleet.answer(machine, [*listed, TaskReport(f"wk-000001/{number}", 1, TaskStatus.RUNNING)])
-        assert machine.exited == {("wk-000001", 0, 1): Cause.DONE}
+        assert machine.exited_placements == {("wk-000001", 0, 1): Cause.DONE}
     assert taken == [0, 0]  # when its placement ended, and when it was found listed
 
 
@@ -278,5 +283,5 @@
     for seq, listed in enumerate([others[:1], [done, *others[:1]], [done, *others]], start=2):
         if seq == 4:
             fleet.job(1, 4)
-        fleet.dispatcher.report(_report(machine.name, seq, listed), fleet.now)
+        fleet.dispatcher.handle_report(_report(machine.name, seq, listed), fleet.now)
     assert 0 in fleet.dispatcher.runs["wk-000001"].finished
--- a/tests/test_service_level.py
+++ b/tests/test_service_level.py
@@ -2,10 +2,10 @@
 
 from datetime import timedelta
 
-from gingerspar.coordination.cluster.job_order import PER_DOUBLING, Turns
+from gingerspar.coordination.cluster.job_order import PER_DOUBLING, JobOrder
 from gingerspar.coordination.cluster.job_runs import JobRun
 from gingerspar.coordination.cluster.machine import Machine, MachineState, TaskState
-from gingerspar.coordination.cluster.service_level import SHARE, ServiceState
+from gingerspar.coordination.cluster.service_level import LAGGING_SHARE, ServiceLevelState
 from gingerspar.coordination.leader.dispatcher import Dispatcher
 from gingerspar.protocol.messages import JobSpec, JobStatus, MachineType, Priority, Shape
 from gingerspar.protocol.settings import Objective, TeamFacts, WorkerFacts
@@ -39,16 +39,16 @@
 
     def __init__(self) -> None:
         self.dispatcher = Dispatcher(1, s(0), WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43), [TeamFacts("red")])
-        self.book = self.dispatcher.book
+        self.cluster_state = self.dispatcher.cluster_state
         self.dispatcher.set_types([MachineType("big", 16, 64, zones=("a",), price=1.0, boot_s=20)])
         self.machines = [
-            self.book.add_machine(f"m{number:02d}", "big", "a", False, s(0), MachineState.READY, rostered=True)
+            self.cluster_state.add_machine(f"m{number:02d}", "big", "a", False, s(0), MachineState.READY, rostered=True)
             for number in range(MACHINES)
         ]
         for number in range(3 * MACHINES):
             self.add(urgent(f"wk-u{number}"))
         for _ in range(60):
-            self.book.services.over("urgent", done=True)
+            self.cluster_state.service_levels.job_ended("urgent", done=True)
         for number in range(40):
             self.add(spec(f"wk-r{number}"))
         self.pass_at(1)
@@ -57,7 +57,7 @@
         self.dispatcher.set_record(job.job, record(job), TaskSet(job.tasks), s(0))
 
     def pass_at(self, second: float) -> None:
-        self.dispatcher.place(s(second))
+        self.dispatcher.place_tasks(s(second))
 
     def running(self, jobclass: str) -> int:
         return sum(p.spec.jobclass == jobclass for machine in self.machines for p in machine.live.values())
@@ -65,8 +65,8 @@
     def end(self, machine: Machine, second: float) -> None:
         """All that runs there completes."""
         for placement in list(machine.live.values()):
-            run = self.book.exited(placement, s(second))
-            self.book.done(run, placement.number)
+            run = self.cluster_state.task_exited(placement, s(second))
+            self.cluster_state.task_done(run, placement.number)
             self.dispatcher.set_record(run.spec.job, None, None, s(second), done=True)
 
 
@@ -75,14 +75,14 @@
     crowd = Crowded()
     assert (crowd.running("urgent"), crowd.running("routine")) == (MACHINES, 0)
     crowd.pass_at(70)
-    assert crowd.book.services.lagging() == {}  # nothing of it should have been done yet
+    assert crowd.cluster_state.service_levels.lagging() == {}  # nothing of it should have been done yet
     crowd.pass_at(90)
-    assert list(crowd.book.services.lagging()) == ["routine"]
+    assert list(crowd.cluster_state.service_levels.lagging()) == ["routine"]
     # What comes free goes to it first, but only as far as its share reaches: 20% of 320 processors.
     for machine in crowd.machines[:8]:
         crowd.end(machine, 91)
     crowd.pass_at(92)
-    assert crowd.running("routine") * 4 == SHARE * MACHINES * 16
+    assert crowd.running("routine") * 4 == LAGGING_SHARE * MACHINES * 16
     assert crowd.running("urgent") == MACHINES - 4
 
 
@@ -95,12 +95,12 @@
         crowd.pass_at(second)
     placed = [p for machine in crowd.machines for p in machine.live.values() if p.spec.jobclass == "routine"]
     assert len(placed) == 16
-    assert all(p.shielded and p.stop is None and p.state is TaskState.PLANNED for p in placed)
+    assert all(p.protected and p.stop_grace is None and p.state is TaskState.PLANNED for p in placed)
     # Without the shield, the same gangs stop it.
     for placement in placed:
-        placement.machine.release(placement)
-        placement.shielded = False
-        placement.machine.take(placement)
+        placement.machine.remove_placement(placement)
+        placement.protected = False
+        placement.machine.add_placement(placement)
     crowd.pass_at(104)
     assert crowd.running("routine") == 0
 
@@ -108,12 +108,12 @@
 def test_a_class_that_has_caught_up_waits_its_turn_again() -> None:
     crowd = Crowded()
     crowd.pass_at(90)
-    service = crowd.book.services.classes["routine"]
-    assert service.state is ServiceState.LAGGING
+    level = crowd.cluster_state.service_levels.classes["routine"]
+    assert level.state is ServiceLevelState.LAGGING
     for number in range(28):
         crowd.dispatcher.set_record(f"wk-r{number}", None, None, s(91), done=True)
     crowd.pass_at(93)
-    assert service.state is ServiceState.SERVED
+    assert level.state is ServiceLevelState.SERVED
     for machine in crowd.machines[:4]:
         crowd.end(machine, 94)
     crowd.pass_at(95)
@@ -124,10 +124,10 @@
     """kerlann-fonts-fleet loss: in the order of submission 0.37 of the jobs were done, by turns 0.60."""
 
     def goes_first(small_came: float, **asked: object) -> bool:
-        turns = Turns([Objective("finished", "routine", 60.0)] if asked else [])
+        job_order = JobOrder([Objective("finished", "routine", 60.0)] if asked else [])
         large = record(spec("wk-large", tasks=64, estimate_s=40.0), 0.0)
         small = record(spec("wk-small", tasks=16, estimate_s=40.0), small_came)
-        return turns.order(small) < turns.order(large)
+        return job_order.key(small) < job_order.key(large)
 
     twice_doubled = 2 * PER_DOUBLING.total_seconds()
     assert goes_first(twice_doubled - 1)
@@ -137,9 +137,9 @@
 
 
 def test_what_is_left_of_a_job_counts() -> None:
-    turns = Turns()
+    job_order = JobOrder()
     large = record(spec("wk-large", tasks=64, estimate_s=40.0))
     small = record(spec("wk-small", tasks=16, estimate_s=40.0))
-    assert turns.order(large, left=2) < turns.order(small) < turns.order(large)
+    assert job_order.key(large, left=2) < job_order.key(small) < job_order.key(large)
     run = JobRun(large.spec, large, TaskSet(64), TaskSet(64))
     assert run.order == large.order  # until the book has seen it
--- a/tests/test_start_deadline.py
+++ b/tests/test_start_deadline.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gingerspar.coordination.cluster.machine import MachineState, TaskState
-from gingerspar.coordination.cluster.start_deadline import BEGIN_BY, Largest
+from gingerspar.coordination.cluster.start_deadline import START_PRIORITY_AFTER, LargestJobs
 from gingerspar.coordination.leader.dispatcher import Dispatcher
 from gingerspar.protocol.messages import JobSpec, JobStatus, MachineType, Priority, Shape
 from gingerspar.protocol.settings import TeamFacts, WorkerFacts
@@ -28,10 +28,10 @@
         self.dispatcher = Dispatcher(1, timedelta(0), workers, [TeamFacts("red"), TeamFacts("guests")], nodes=3)
         self.dispatcher.set_types([MachineType("box", 16, 64, cache_gb=60, zones=("a",), price=1.0, boot_s=20)])
         for number in range(MACHINES):
-            machine = self.dispatcher.book.add_machine(
+            machine = self.dispatcher.cluster_state.add_machine(
                 f"n-{number}", "box", "a", False, timedelta(0), MachineState.READY
             )
-            machine.enlist()
+            machine.mark_rostered()
         self.ends: list[tuple[float, str, int]] = []
         self.began: dict[str, float] = {}
 
@@ -49,22 +49,22 @@
 
     def second(self) -> None:
         """Each task runs as long as was said, from the moment it has its place."""
-        now, book = timedelta(seconds=self.now), self.dispatcher.book
+        now, cluster_state = timedelta(seconds=self.now), self.dispatcher.cluster_state
         for run in list(self.dispatcher.runs.values()):
             for placement in run.live:
                 if placement.state is TaskState.PLANNED:
-                    book.move(placement, TaskState.RUNNING, now)
+                    cluster_state.move_task(placement, TaskState.RUNNING, now)
                     self.began.setdefault(placement.job, self.now)
-                elif placement.stop is not None:
-                    book.gone(placement, now)
+                elif placement.stop_grace is not None:
+                    cluster_state.task_gone(placement, now)
                 elif now - (placement.running_since or now) >= placement.spec.estimate:
-                    book.exited(placement, now)
-                    book.done(run, placement.number)
+                    cluster_state.task_exited(placement, now)
+                    cluster_state.task_done(run, placement.number)
             if run.finished.full:
                 self.dispatcher.set_record(run.spec.job, None, None, now, done=True)
         for _ in range(20):
-            self.dispatcher.place(now)
-            if not self.dispatcher.dirty:
+            self.dispatcher.place_tasks(now)
+            if not self.dispatcher.needs_placement:
                 break
         self.now += 1.0
 
@@ -97,15 +97,15 @@
     rush = Rush()
     rush.play(60)
     came, job = rush.now, rush.come(*LARGE["an array of thousands in the lowest priority"])
-    rush.play(int(BEGIN_BY.total_seconds()) + 10)
+    rush.play(int(START_PRIORITY_AFTER.total_seconds()) + 10)
     run = rush.dispatcher.runs[job]
-    assert rush.began[job] - came >= BEGIN_BY.total_seconds()
+    assert rush.began[job] - came >= START_PRIORITY_AFTER.total_seconds()
     # The machine has room for more that no gang can use; of these none is kept from what is more urgent.
-    assert [placement.number for placement in run.live if placement.shielded] == [0]
+    assert [placement.number for placement in run.live if placement.protected] == [0]
 
 
 def test_the_largest_of_a_class_are_its_top_tenth_by_tasks_and_by_work() -> None:
-    largest = Largest()
+    largest = LargestJobs()
     specs = [
         JobSpec(f"wk-{n:06d}", "c", "red", Shape.GANG, Priority.HIGH, n + 1, 1.0, 1.0, estimate_s=10.0)
         for n in range(19)
@@ -113,11 +113,11 @@
     long = JobSpec("wk-000099", "c", "red", Shape.GANG, Priority.HIGH, 1, 1.0, 1.0, estimate_s=900.0)
     for spec in [*specs, long]:
         largest.add(spec)
-    assert [spec.tasks for spec in specs if largest.among(spec)] == [18, 19]
-    assert largest.among(long)
+    assert [spec.tasks for spec in specs if largest.contains(spec)] == [18, 19]
+    assert largest.contains(long)
     alone = JobSpec("wk-000100", "d", "red", Shape.GANG, Priority.HIGH, 1, 1.0, 1.0)
     largest.add(alone)
-    assert largest.among(alone)
+    assert largest.contains(alone)
 
 
 def test_a_finish_that_no_record_shows_yet_is_a_beginning() -> None:
@@ -125,10 +125,10 @@
     rush = Rush()
     job = rush.come("bulk", Shape.ARRAY, Priority.LOW, 50, 1.0, 20.0)
     run = rush.dispatcher.runs[job]
-    assert not run.begun
-    rush.dispatcher.book.done(run, 0)
-    assert run.begun
-    assert not rush.dispatcher.book.late_to_begin(run, timedelta(seconds=200))
+    assert not run.has_started
+    rush.dispatcher.cluster_state.task_done(run, 0)
+    assert run.has_started
+    assert not rush.dispatcher.cluster_state.is_start_overdue(run, timedelta(seconds=200))
 
 
 def test_the_place_that_comes_free_first_is_kept() -> None:
@@ -141,20 +141,20 @@
     rush.second()
     (placement,) = rush.dispatcher.runs[short].live
     spec = rush.dispatcher.runs[long].spec
-    assert pool.emptied(spec, (), now) == [placement.machine]
-    assert pool.emptied(spec, (placement.machine,), now) != [placement.machine]
+    assert pool.earliest_available(spec, (), now) == [placement.machine]
+    assert pool.earliest_available(spec, (placement.machine,), now) != [placement.machine]
 
 
 def test_lagging_classes_leave_something_for_first_tasks() -> None:
     rush = Rush()
-    services = rush.dispatcher.book.services
+    levels = rush.dispatcher.cluster_state.service_levels
     job = rush.come("bulk", Shape.ARRAY, Priority.LOW, 50, 1.0, 20.0)
     run = rush.dispatcher.runs[job]
-    services.weight, services.held = 100.0, 20.0  # what a lagging class has used up
-    assert (services.left(run), services.left(run, to_begin=True)) == (0, 5)
-    assert rush.dispatcher.book.late_to_begin(run, BEGIN_BY)
-    services.held = 25.0
-    assert not rush.dispatcher.book.late_to_begin(run, BEGIN_BY)
+    levels.total_weight, levels.used_weight = 100.0, 20.0  # what a lagging class has used up
+    assert (levels.remaining_tasks(run), levels.remaining_tasks(run, to_begin=True)) == (0, 5)
+    assert rush.dispatcher.cluster_state.is_start_overdue(run, START_PRIORITY_AFTER)
+    levels.used_weight = 25.0
+    assert not rush.dispatcher.cluster_state.is_start_overdue(run, START_PRIORITY_AFTER)
 
 
 def test_what_it_kept_is_given_up_once_it_has_begun() -> None:
@@ -166,18 +166,22 @@
     kept = 0
     for _ in range(200):
         rush.play(1)
-        kept = max(kept, len(run.booked))
-        if run.begun:
+        kept = max(kept, len(run.reserved))
+        if run.has_started:
             break
-    assert (run.begun, kept) == (True, 1)
-    assert not run.booked
+    assert (run.has_started, kept) == (True, 1)
+    assert not run.reserved
     # The same where it finds its place among machines that gained room, not where it kept one.
     other = rush.come("bulk", Shape.ARRAY, Priority.LOW, 50, 16.0, 20.0)
-    late, book, now = rush.dispatcher.runs[other], rush.dispatcher.book, timedelta(seconds=rush.now + 200)
+    late, cluster_state, now = (
+        rush.dispatcher.runs[other],
+        rush.dispatcher.cluster_state,
+        timedelta(seconds=rush.now + 200),
+    )
     first, second = list(rush.dispatcher.machines.values())[:2]
-    book.book(late, {first: 1}, now)
+    cluster_state.reserve(late, {first: 1}, now)
     for placement in list(second.live.values()):
-        book.exited(placement, now)
+        cluster_state.task_exited(placement, now)
     rush.dispatcher._placer._place_tasks(late, [second], 1, now, late=True)
     assert [placement.machine for placement in late.live] == [second]
-    assert not late.booked
+    assert not late.reserved
--- a/tests/test_status_after_outage.py
+++ b/tests/test_status_after_outage.py
@@ -7,7 +7,7 @@
 
 from gingerspar.protocol.messages import JobStatus, parse_job
 from gingerspar.storage.records import JobRecord, job_key, pack
-from gingerspar.transport.client import Client, Unanswered
+from gingerspar.transport.client import Client, NoAnswer
 from tests.standins.cluster import NAMES, Cluster, job
 
 JOBS = 1000
@@ -35,7 +35,7 @@
         client = Client(cluster.http[NAMES[(number + tries) % len(NAMES)]])
         try:
             status, body = await client.request("GET", f"/v1/jobs/wk-{number:06d}", timeout=PATIENCE)
-        except Unanswered:
+        except NoAnswer:
             status, body = 0, b""
         finally:
             client.close()
--- a/tests/tracing.py
+++ b/tests/tracing.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from gingerspar.coordination.cluster.machine import MachineState
-from gingerspar.coordination.leader.dispatcher import Dispatcher, Outdated, Stale
+from gingerspar.coordination.leader.dispatcher import Dispatcher, NewerToken, StaleReport
 from gingerspar.coordination.machines import fleet
 from gingerspar.protocol.messages import (
     Cause,
@@ -62,7 +62,7 @@
             self.dispatcher.tick(self.now, self.now if self.read is None else self.read)
             words = words[2:]
             if not words:
-                self.dispatcher.place(self.now)
+                self.dispatcher.place_tasks(self.now)
                 return 0
         getattr(self, "_" + words[0].replace("-", "_"))(words[1:])
         return 0
@@ -106,7 +106,7 @@
         )
         self.dispatcher.set_types(self.types)
         self.dispatcher.final_spec = self.specs.get
-        self.dispatcher.is_over = self.over.__contains__
+        self.dispatcher.is_ended = self.over.__contains__
 
     def _job(self, words: list[str]) -> None:
         """A record as the state service has it: ``job wk-1 array tasks=2 attempt=1``."""
@@ -144,7 +144,7 @@
             submitted=self.now.total_seconds(),
         )
         self.dispatcher.set_record(spec.job, record, finished, self.now)
-        self.dispatcher.place(self.now)
+        self.dispatcher.place_tasks(self.now)
 
     def _no_state(self, words: list[str]) -> None:
         """From now on the state service can't be read."""
@@ -162,7 +162,7 @@
         """A machine that is up and on the roster."""
         given = _fields(words[1:])
         if words[0] not in self.dispatcher.machines:
-            self.dispatcher.book.add_machine(
+            self.dispatcher.cluster_state.add_machine(
                 words[0], given.get("type", "big"), given.get("zone", "a"), given.get("spot") == "yes", self.now,
                 MachineState.BOOTING,
             )  # fmt: skip
@@ -170,27 +170,27 @@
             [words[0], "seq=1", f"token={self.dispatcher.term}", *(w for w in words[1:] if not w.startswith("roster="))]
         )
         if given.get("roster") != "no":
-            self.dispatcher.machines[words[0]].enlist()
-        self.dispatcher.place(self.now)
+            self.dispatcher.machines[words[0]].mark_rostered()
+        self.dispatcher.place_tasks(self.now)
 
     def _told(self, words: list[str]) -> None:
         """Asked for its status, the machine has shown this report, and is told of the token directly."""
-        self.dispatcher.told_directly(self.dispatcher.machines[words[0]], self._read_report(words))
+        self.dispatcher.notified_directly(self.dispatcher.machines[words[0]], self._read_report(words))
 
     def _report(self, words: list[str]) -> None:
         """``report m1 seq=3 token=1 tasks=wk-1/0@1:running,wk-2/0@1:ended:done``"""
         report = self._read_report(words)
         self.refused, self.answer = "", None
         try:
-            machine = self.dispatcher.report(report, self.now)
-        except Stale:
+            machine = self.dispatcher.handle_report(report, self.now)
+        except StaleReport:
             self.refused = "stale"
             return
-        except Outdated:
+        except NewerToken:
             self.refused = "outdated"
             return
-        self.dispatcher.place(self.now)
-        self.answer = self.dispatcher.commands(machine, report, self.now)
+        self.dispatcher.place_tasks(self.now)
+        self.answer = self.dispatcher.take_commands(machine, report, self.now)
 
     def _read_report(self, words: list[str]) -> Report:
         given = _fields(words[1:])
@@ -215,8 +215,8 @@
     def _returned(self, words: list[str]) -> None:
         machine = self.dispatcher.machines[words[0]]
         machine.move(MachineState.RETURNING)
-        self.dispatcher.returned(machine, self.now)
-        self.dispatcher.place(self.now)
+        self.dispatcher.machine_returned(machine, self.now)
+        self.dispatcher.place_tasks(self.now)
 
     # -- expectations ---------------------------------------------------------
 
@@ -236,20 +236,23 @@
             assert tasks == words[1:], f"has {tasks}"
         elif what == "finished":
             run = self.dispatcher.runs[words[0]]
-            assert [str(n) for n in sorted(run.unsaved)] == words[1:], f"has {sorted(run.unsaved)}"
+            assert [str(n) for n in sorted(run.unrecorded)] == words[1:], f"has {sorted(run.unrecorded)}"
         elif what == "wants-attempt":
             asked = self.dispatcher.runs[words[0]].needs_attempt
             assert asked == (words[1] == "yes"), f"is {asked}"
         elif what == "rents":
-            wanted = fleet.wanted(self.dispatcher.book, fleet.Refusals(), self.now)
+            wanted = fleet.plan_rentals(self.dispatcher.cluster_state, fleet.Refusals(), self.now)
             rents = sorted(f"{name}={count}" for (name, *_), count in wanted.items())
             assert rents == words, f"rents {rents}"
         elif what == "hears":
-            got_state = self.dispatcher.machines[words[0]].hearing.state.value
+            got_state = self.dispatcher.machines[words[0]].delivery.state.value
             assert got_state == words[1], f"is {got_state}"
         elif what == "gives-back":
-            book = self.dispatcher.book
-            given = [machine.name for machine in fleet.idle(book, fleet.Spare(), self.now, timedelta(minutes=5))]
+            cluster_state = self.dispatcher.cluster_state
+            given = [
+                machine.name
+                for machine in fleet.plan_returns(cluster_state, fleet.IdleHistory(), self.now, timedelta(minutes=5))
+            ]
             assert given == words, f"gives back {given}"
         elif what == "no-machine":
             assert words[0] not in self.dispatcher.machines
