--- a/gingerspar/controller.py
+++ b/gingerspar/controller.py
@@ -1,4 +1,4 @@
-"""Puts one controller together and runs it."""
+"""Wires the parts of one controller node together and runs them."""
 
 import asyncio
 import logging
@@ -15,7 +15,7 @@
 from gingerspar.coordination.jobs.reconciler import Reconciler
 from gingerspar.coordination.jobs.relay import RequestRelay
 from gingerspar.coordination.leader.dispatcher import Dispatcher
-from gingerspar.coordination.leader.leader_runtime import LeaderRuntime, longest_hold
+from gingerspar.coordination.leader.leader_runtime import LeaderRuntime, max_hold_duration
 from gingerspar.coordination.leader.load_monitor import LoadMonitor
 from gingerspar.coordination.leader.term_manager import TermManager
 from gingerspar.coordination.machines.cloud import CloudClient, CloudError, NoCapacity
@@ -37,18 +37,18 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT = timedelta(milliseconds=400)
-COUNTS = timedelta(seconds=1)
+HEARTBEAT_INTERVAL = timedelta(milliseconds=400)
+COUNTS_INTERVAL = timedelta(seconds=1)
 CATALOG_INTERVAL = timedelta(seconds=20)
-NO_STATE = timedelta(seconds=2)  # a node without a read for so long can't write either
-RELAY_AFTER = timedelta(seconds=0.8)  # without a read for so long, a peer may serve users better
-HOLD_UNLED = timedelta(seconds=2)  # workers give an answer up after 4 s
-LINK_SILENT = timedelta(seconds=1.5)
+STATE_LOST_AFTER = timedelta(seconds=2)  # a node without a state read for this time can't write either
+RELAY_AFTER = timedelta(seconds=0.8)  # without a state read for this time, a peer may serve users better
+MAX_HOLD_WITHOUT_LEADER = timedelta(seconds=2)  # workers stop waiting for an answer after 4 s
+PEER_CONTACT_LOST_AFTER = timedelta(seconds=1.5)
 REDIAL_AFTER = timedelta(seconds=2)
 
 
 class Controller:
-    """One node."""
+    """One node of the scheduler: serves workers and users, and leads while it holds the term."""
 
     def __init__(
         self,
@@ -82,18 +82,18 @@
         )
         self._job_api = JobApi(self._client, self._view, self._claims, self._clock, teams)
         self._cloud = CloudClient(settings.services.cloud, self._clock, facts.cloud.rps)
-        self._link = PeerLink({peer.node: peer.address for peer in settings.peers}, self._hear, self._clock)
+        self._link = PeerLink({peer.node: peer.address for peer in settings.peers}, self._receive, self._clock)
         self._request_relay = RequestRelay(self._node, self._link, self._serve_user)
-        self._began = self._clock.now()
+        self._started = self._clock.now()
         self._load_monitor = LoadMonitor(self._clock)
         self._server = Server(self._handle, facts.machine_limits.fd_limit, self._clock)
         self._types: list[MachineType] = []
         self._peer_status: dict[str, PeerStatus] = {}
         self._contacts = WorkerContacts()
         self._reachability = WorkerReachability(self._contacts)
-        self._sample: list[str] = []  # addresses of machines that the leader told of
-        self._counts: dict[str, int] = {}
-        self._led = asyncio.Event()  # what reports wait for that came while nobody commanded
+        self._sample_addresses: list[str] = []  # machines to probe, as sent by the leader
+        self._running_counts: dict[str, int] = {}
+        self._leader_found = asyncio.Event()  # set, and replaced, once a leader is known
         self._term_manager = TermManager(
             self._node,
             self._client,
@@ -107,13 +107,13 @@
             self._link,
             self._load_monitor,
         )
-        self._term_manager.set_callbacks(self._peer_heard, lambda: self._types, self._make_runtime)
+        self._term_manager.set_callbacks(self._receives_from, lambda: self._types, self._make_runtime)
         self._prober = Prober(
             self._reachability,
             self._contacts,
             self._clock,
             self._term_manager.doubts_leader,
-            self._machines_to_ask,
+            self._addresses_to_probe,
             self._random,
         )
         self._reconciler = Reconciler(
@@ -122,15 +122,16 @@
         self._view.on_term.append(self._term_changed)
         self._claims.dispatcher_reachable = self._dispatcher_reachable
         self._claims.hand_over = self._hand_over
-        self._job_api.notify_cancelled = self._tell_cancelled
+        self._job_api.notify_cancelled = self._notify_cancelled
         self._job_api.types = lambda: {kind.name: kind for kind in self._types}
-        self._job_api.running = self._running
+        self._job_api.running = self._running_count
         self._job_api.peer_has_state = self._peer_has_state
-        self._job_api.has_peer_contact = self._hears_peers
+        self._job_api.has_peer_contact = self._has_peer_contact
 
-    # -- life -----------------------------------------------------------------
+    # -- lifecycle ------------------------------------------------------------
 
     async def run(self) -> None:
+        """Runs the node until a loop fails or it is cancelled, then closes it."""
         host, port = self._settings.listen.rsplit(":", 1)
         peer_host, peer_port = self._settings.peer_listen.rsplit(":", 1)
         self._server.listen(int(port), host)
@@ -144,11 +145,11 @@
             self._reconciler.run(),
             self._term_manager.run(),
             self._prober.run(),
-            self._beat(),
-            self._keep_catalog(),
+            self._run_heartbeats(),
+            self._refresh_catalog(),
         ]
         tasks = self._link.start(int(peer_port), peer_host)
-        tasks += [asyncio.ensure_future(self._forever(loop)) for loop in loops]
+        tasks += [asyncio.ensure_future(self._run_loop(loop)) for loop in loops]
         log.info("controller %s listens on %s", self._node, self._settings.listen)
         try:
             await asyncio.gather(*tasks)
@@ -156,19 +157,19 @@
             self.close()
 
     def close(self) -> None:
-        """Stops listening and speaking at once; for a node that shares its process with others."""
+        """Stops the server and the peer links at once; for a node that shares its process with others."""
         self._server.stop()
         self._link.stop()
         self._term_manager.resign()
 
-    async def _forever(self, loop: Coroutine[Any, Any, None]) -> None:
-        """A loop that ends by an error would leave a node that only seems alive."""
+    async def _run_loop(self, loop: Coroutine[Any, Any, None]) -> None:
+        """Logs and re-raises the failure of a loop: without that loop the node would only seem alive."""
         try:
             await loop
         except asyncio.CancelledError:
             raise
         except BaseException:
-            log.exception("a loop failed")
+            log.exception("background loop failed")
             raise
 
     # -- HTTP -----------------------------------------------------------------
@@ -176,11 +177,11 @@
     def _handle(self, request: Request) -> Answer | Awaitable[Answer]:
         path, method = request.path, request.method
         if path == names.PATH_REPORT and method == "POST":
-            return self._report(request)
+            return self._handle_report(request)
         if path == names.PATH_UP and method == "GET":
             return self._job_api.health()
         if path == names.PATH_JOBS or path.startswith(names.PATH_JOBS + "/"):
-            peer = self._better_peer()
+            peer = self._relay_target()
             if peer is not None:
                 return self._request_relay.forward(peer, method, path, request.body)
             return self._serve_user(method, path, request.body)
@@ -196,20 +197,20 @@
             return self._job_api.cancel(rest[: -len(names.PATH_ABORT)])
         return error_answer(405, "use GET, or POST to cancel")
 
-    # -- users' requests that a peer can serve --------------------------------
+    # -- requests that another node serves ------------------------------------
 
-    def _better_peer(self) -> str | None:
-        """A peer that has the state service while this node has not."""
+    def _relay_target(self) -> str | None:
+        """Returns a peer with access to the state service if this node has none."""
         if self._view.age() < RELAY_AFTER:
             return None
-        good = [
+        candidates = [
             node
             for node, peer_status in self._peer_status.items()
-            if self._peer_heard(node) and peer_status.state_age < RELAY_AFTER
+            if self._receives_from(node) and peer_status.state_age < RELAY_AFTER
         ]
-        return min((node for node in good if self._link.is_up(node)), default=None)
+        return min((node for node in candidates if self._link.is_up(node)), default=None)
 
-    def _report(self, request: Request) -> Answer | Awaitable[Answer]:
+    def _handle_report(self, request: Request) -> Answer | Awaitable[Answer]:
         try:
             report = messages.decode(Report, request.body)
         except Malformed as error:
@@ -220,50 +221,57 @@
             self._prober.probe_contacts()
         if self._runtime is not None and self._term_manager.has_authority():
             return self._runtime.handle_report(report)
-        if self._runtime is None and self._commander() is None:
+        if self._runtime is None and self._other_leader() is None:
             if self._view.term is not None and report.token > self._view.term[0].term:
-                return self._steer()  # somebody commands of whom this node has not heard: it finds them sooner itself
-            return self._until_commanded(report)
-        return self._steer()
+                # There is a newer leader that this node doesn't know: the worker finds it sooner itself.
+                return self._redirect()
+            return self._hold_until_leader_found(report)
+        return self._redirect()
 
-    async def _until_commanded(self, report: Report) -> Answer:
-        """Keeps a worker here while nobody is known to command, rather than send it round.
+    async def _hold_until_leader_found(self, report: Report) -> Answer:
+        """Holds a worker's report while no leader is known, instead of sending the worker on.
 
-        The next node in its round may be the one that has just ended: that costs it four seconds
-        of its lease, and then another round.
+        The next node that the worker tries may be the one that has just gone down: that costs it
+        four seconds of its lease, and then another round of the nodes.
         """
-        await wait_for_event(self._led, min(HOLD_UNLED, longest_hold(self._facts.workers)))
+        await wait_for_event(self._leader_found, min(MAX_HOLD_WITHOUT_LEADER, max_hold_duration(self._facts.workers)))
         if self._runtime is not None and self._term_manager.has_authority():
             return await resolve_answer(self._runtime.handle_report(report))
-        return self._steer()
+        return self._redirect()
 
-    def _lead(self) -> None:
-        """To be called whenever somebody may have begun to command."""
-        if self._runtime is not None or self._commander() is not None:
-            self._led.set()
-            self._led = asyncio.Event()  # for those that come once nobody commands any more
+    def _wake_held_reports(self) -> None:
+        """Answers held reports if a leader is known; to be called whenever a node may have started to lead."""
+        if self._runtime is not None or self._other_leader() is not None:
+            self._leader_found.set()
+            self._leader_found = asyncio.Event()  # for reports that arrive when there is no leader again
 
-    def _commander(self) -> str | None:
-        """Another node that seems to command the workers."""
+    def _other_leader(self) -> str | None:
+        """Returns another node that appears to lead the workers, or None."""
         leader = self._known_leader()
         if leader is None or leader == self._node or not self._seems_alive(leader):
             return None
-        # One that has asked its machines in vain is replaced within a second or two: a worker sent there
-        # would lose four seconds of its lease.
+        # A leader that has probed its machines without success is replaced within a second or two: a worker sent
+        # there would lose four seconds of its lease.
         peer_status = self._peer_status.get(leader)
-        cut_off = peer_status is not None and peer_status.reaches_workers is False and self._peer_heard(leader)
-        return None if cut_off else leader
+        workers_unreachable = (
+            peer_status is not None and peer_status.reaches_workers is False and self._receives_from(leader)
+        )
+        return None if workers_unreachable else leader
 
-    def _steer(self) -> Answer:
-        """What a worker is told by a node that may not command it: who may, if that is known."""
+    def _redirect(self) -> Answer:
+        """Answers a worker that this node has no authority over; names the leader if it is known."""
         if self._runtime is not None and self._known_leader() == self._node:
             return error_answer(503, "not entitled")
-        leader = self._commander()
+        leader = self._other_leader()
         return Answer(421, messages.encode(Redirect() if leader is None else Redirect(leader)))
 
     def _seems_alive(self, leader: str) -> bool:
-        """Heard, or, while connections between controllers are refused, in session."""
-        if self._peer_heard(leader):
+        """Whether the leader has sent a heartbeat lately or still has its session in the state service.
+
+        The session counts while connections between controllers are refused, as long as the leader's liveness mark
+        is fresh or no worker has switched from it to this node.
+        """
+        if self._receives_from(leader):
             return True
         term = self._view.term
         if term is None or term[0].leader != leader or self._view.nodes.get(leader) != term[0].session:
@@ -274,12 +282,12 @@
         )
 
     def _known_leader(self) -> str | None:
-        """The newest leader that the view or a peer tells of."""
+        """Returns the leader of the newest term in the view or in a peer's status."""
         term = self._view.term
-        number, leader = (term[0].term, term[0].leader) if term is not None else (0, None)
+        newest_term, leader = (term[0].term, term[0].leader) if term is not None else (0, None)
         for node, peer_status in self._peer_status.items():
-            if peer_status.dispatching and peer_status.term > number:
-                number, leader = peer_status.term, node
+            if peer_status.dispatching and peer_status.term > newest_term:
+                newest_term, leader = peer_status.term, node
         return leader
 
     # -- term -----------------------------------------------------------------
@@ -296,9 +304,9 @@
             self._facts,
             self._operator,
             self._term_manager.has_authority,
-            self._tell_finished,
-            self._ask_reclaim,
-            self._steer,
+            self._notify_finished,
+            self._request_reclaim,
+            self._redirect,
             self._term_manager.handle_newer_token,
             self._load_monitor,
             self._random,
@@ -306,11 +314,11 @@
 
     def _term_changed(self) -> None:
         if self._runtime is None:
-            self._counts = {}
+            self._running_counts = {}
 
     @property
     def _runtime(self) -> LeaderRuntime | None:
-        """What this node commands with while it holds the term."""
+        """The leader runtime while this node holds the term, else None."""
         return self._term_manager.runtime
 
     def _recent_workers(self) -> int:
@@ -318,17 +326,17 @@
 
     # -- peers ----------------------------------------------------------------
 
-    def _peer_heard(self, node: str) -> bool:
+    def _receives_from(self, node: str) -> bool:
         peer_status = self._peer_status.get(node)
-        return peer_status is not None and self._clock.now() - peer_status.received_at <= LINK_SILENT
+        return peer_status is not None and self._clock.now() - peer_status.received_at <= PEER_CONTACT_LOST_AFTER
 
-    def _hears_peers(self) -> bool:
-        """Any at all; true as well for a node that has none."""
-        return not self._link.peers or any(self._peer_heard(node) for node in self._link.peers)
+    def _has_peer_contact(self) -> bool:
+        """Whether any peer has sent a heartbeat lately; also true for a node that has no peers."""
+        return not self._link.peers or any(self._receives_from(node) for node in self._link.peers)
 
     def _peer_has_state(self) -> bool:
         return any(
-            self._peer_heard(node) and peer_status.state_age < timedelta(seconds=1.5)
+            self._receives_from(node) and peer_status.state_age < timedelta(seconds=1.5)
             for node, peer_status in self._peer_status.items()
         )
 
@@ -339,22 +347,22 @@
         if self._runtime is not None:
             return True
         leader = term[0].leader
-        return leader != self._node and self._link.is_up(leader) and self._peer_heard(leader)
+        return leader != self._node and self._link.is_up(leader) and self._receives_from(leader)
 
-    def _mend_links(self) -> None:
-        """A connection may be lost without an error: then one side or the other hears nothing."""
+    def _redial_broken_links(self) -> None:
+        """Redials links that are silent either way: a connection may be lost without an error on one side."""
         for peer in self._link.peers:
             peer_status = self._peer_status.get(peer)
-            works = self._peer_heard(peer) and peer_status is not None and self._node in peer_status.receives_from
+            works = self._receives_from(peer) and peer_status is not None and self._node in peer_status.receives_from
             if not works and self._link.age(peer) > REDIAL_AFTER:
-                log.debug("peer link to %s is dialled again", peer)
+                log.debug("redialling peer link to %s", peer)
                 self._link.redial(peer)
 
-    async def _beat(self) -> None:
-        counted = self._clock.now()
+    async def _run_heartbeats(self) -> None:
+        counts_sent_at = self._clock.now()
         while True:
-            self._mend_links()
-            self._lead()
+            self._redial_broken_links()
+            self._wake_held_reports()
             self._link.broadcast(
                 peers.pack(
                     peers.Heartbeat(
@@ -363,18 +371,18 @@
                         self._term_manager.is_dispatching(),
                         min(self._view.age().total_seconds(), 1e6),
                         self._recent_workers(),
-                        [node for node in self._peer_status if self._peer_heard(node)],
-                        # What this node can't write now is left to those that can.
-                        self._client.write_demand if self._view.age() < NO_STATE else 0.0,
-                        (self._clock.now() - self._began).total_seconds(),
+                        [node for node in self._peer_status if self._receives_from(node)],
+                        # A node that can't write now leaves its share to the nodes that can.
+                        self._client.write_demand if self._view.age() < STATE_LOST_AFTER else 0.0,
+                        (self._clock.now() - self._started).total_seconds(),
                         self._reachability.is_reachable,
                     )
                 )
             )
             self._share_writes()
             now = self._clock.now()
-            if self._runtime is not None and now - counted >= COUNTS:
-                counted = now
+            if self._runtime is not None and now - counts_sent_at >= COUNTS_INTERVAL:
+                counts_sent_at = now
                 self._link.broadcast(
                     peers.pack(
                         peers.Counts(
@@ -385,22 +393,25 @@
                         )
                     )
                 )
-            await asyncio.sleep(HEARTBEAT.total_seconds())
+            await asyncio.sleep(HEARTBEAT_INTERVAL.total_seconds())
 
     def _share_writes(self) -> None:
-        """Peers that are not heard are taken to need an even share, those without the state service none.
+        """Splits the write and request limits of the state service among the nodes that can use them.
 
+        A silent peer is assumed to need an even share, a peer without the state service none.
         kerlann-fonts-fleet loss: the one controller of five that still had the state service claimed
-        everything again with what was left beside four shares that nobody could use.
+        everything again at the rate left beside four shares that nobody could use.
         """
-        even = self._facts.state.write_rps / max(self._facts.size, 1)
-        heard = [peer_status for node, peer_status in self._peer_status.items() if self._peer_heard(node)]
-        unheard = max(self._facts.size - 1 - len(heard), 0)
-        served = [peer_status.write_demand for peer_status in heard if peer_status.state_age < NO_STATE]
-        self._client.share_writes(served + [even] * unheard)
-        self._client.share_requests(1 + len(served) + unheard)
-
-    def _hear(self, data: bytes) -> None:
+        even_share = self._facts.state.write_rps / max(self._facts.size, 1)
+        live_peers = [peer_status for node, peer_status in self._peer_status.items() if self._receives_from(node)]
+        silent_count = max(self._facts.size - 1 - len(live_peers), 0)
+        write_demands = [
+            peer_status.write_demand for peer_status in live_peers if peer_status.state_age < STATE_LOST_AFTER
+        ]
+        self._client.share_writes(write_demands + [even_share] * silent_count)
+        self._client.share_requests(1 + len(write_demands) + silent_count)
+
+    def _receive(self, data: bytes) -> None:
         try:
             message = peers.unpack(data)
         except msgspec.MsgspecError as error:
@@ -419,13 +430,13 @@
                     None if message.up_s is None else self._clock.now() - timedelta(seconds=message.up_s),
                     message.reaches,
                 )
-                self._lead()
+                self._wake_held_reports()
             case peers.Counts():
                 if self._view.term is not None and message.term == self._view.term[0].term:
-                    self._counts = message.running
-                    self._sample = message.addresses
+                    self._running_counts = message.running
+                    self._sample_addresses = message.addresses
             case peers.Handover():
-                # Committed data with its version, so it may go straight into the view.
+                # The record is committed and has its version, so it can be applied to the view directly.
                 self._view.apply(message.key, bytes(message.record), message.version)
             case peers.Finished():
                 self._claims.add_finished(message.jobs)
@@ -436,36 +447,41 @@
             case peers.Reclaim():
                 self._claims.reclaim(message.job, message.attempt)
 
-    def _machines_to_ask(self) -> list[str]:
-        return self._runtime.sample_addresses() if self._runtime is not None else self._sample
+    def _addresses_to_probe(self) -> list[str]:
+        return self._runtime.sample_addresses() if self._runtime is not None else self._sample_addresses
 
-    def _running(self, job: str) -> int:
-        return self._runtime.dispatcher.running_count(job) if self._runtime is not None else self._counts.get(job, 0)
+    def _running_count(self, job: str) -> int:
+        return (
+            self._runtime.dispatcher.running_count(job)
+            if self._runtime is not None
+            else self._running_counts.get(job, 0)
+        )
 
     def _hand_over(self, job: str, version: int, record: JobRecord) -> None:
         term = self._view.term
         if self._runtime is not None or term is None or term[0].leader == self._node:
-            return  # one that has just resigned is still the leader on record; the next one reads the record
-        self._link.send(term[0].leader, self._handover(job, version, record))
+            return  # a node that has just resigned is still the recorded leader; its successor reads the job record
+        self._link.send(term[0].leader, self._pack_handover(job, version, record))
 
-    def _handover(self, job: str, version: int, record: JobRecord) -> bytes:
+    def _pack_handover(self, job: str, version: int, record: JobRecord) -> bytes:
         term = self._view.term[0].term if self._view.term is not None else 0
         return peers.pack(peers.Handover(self._node, term, records.job_key(job), version, records.pack(record)))
 
-    def _tell_cancelled(self, job: str, version: int, record: JobRecord) -> None:
-        """To all peers: the one that commands may be without the state service, and another than this node knows of.
+    def _notify_cancelled(self, job: str, version: int, record: JobRecord) -> None:
+        """Sends a cancellation to all peers, so that the leader stops the tasks at once.
 
-        It stops the tasks at once. Where it doesn't hear of it, they end with its authority and the workers' leases.
+        The leader may have lost the state service, and may not be the node that this node takes for it. If the
+        message doesn't arrive, the tasks end with the leader's authority and the workers' leases.
         """
-        self._link.broadcast(self._handover(job, version, record))
+        self._link.broadcast(self._pack_handover(job, version, record))
 
-    def _tell_finished(self, node: str, jobs: dict[str, list[int]]) -> None:
+    def _notify_finished(self, node: str, jobs: dict[str, list[int]]) -> None:
         if node == self._node:
             self._claims.add_finished(jobs)
         elif self._runtime is not None and node in self._peer_status:
             self._link.send(node, peers.pack(peers.Finished(self._node, self._runtime.dispatcher.term, jobs)))
 
-    def _ask_reclaim(self, node: str, job: str, attempt: int) -> None:
+    def _request_reclaim(self, node: str, job: str, attempt: int) -> None:
         if node == self._node:
             self._claims.reclaim(job, attempt)
         elif self._runtime is not None and node in self._peer_status:
@@ -473,7 +489,7 @@
 
     # -- catalog --------------------------------------------------------------
 
-    async def _keep_catalog(self) -> None:
+    async def _refresh_catalog(self) -> None:
         while True:
             if not self._types or self._runtime is not None:
                 try:
--- a/gingerspar/coordination/leader/__init__.py
+++ b/gingerspar/coordination/leader/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader of the term does: decides, commands, keeps the term or gives it up."""
+"""The leader of the term: placement decisions, commands to workers, and holding or resigning the term."""
--- a/gingerspar/coordination/leader/leader_runtime.py
+++ b/gingerspar/coordination/leader/leader_runtime.py
@@ -1,4 +1,4 @@
-"""The term leader at work: carries the dispatcher's decisions in and out."""
+"""Runs the dispatcher while this node leads: workers' reports, commands, the fleet and notifications."""
 
 import asyncio
 import logging
@@ -43,36 +43,44 @@
 
 log = logging.getLogger(__name__)
 
-SAY_AGAIN = timedelta(seconds=3)
-SAY_PAUSE = timedelta(milliseconds=100)  # finishes are told together
-RECLAIM_AGAIN = timedelta(seconds=1)
-FLEET_INTERVAL = timedelta(seconds=1)
-FLEET_EACH = timedelta(milliseconds=1.5)  # ... for each machine, if that is longer: a plan goes through all that waits
-ORDER_FRESH = timedelta(seconds=1)
-TICK = timedelta(milliseconds=250)
-PASS_PAUSE = timedelta(milliseconds=40)  # between two placing passes: what comes together is looked at together
-PASS_PAUSE_EACH = timedelta(milliseconds=0.2)  # ... with a large fleet so much for each machine, as more comes
-TELL_AFTER = timedelta(seconds=4)  # most machines come by themselves within it
-TELL_NOBODY = timedelta(seconds=2.2)  # ... and where none has after so long, another keeps them all. Those that give
-# a cut-off leader up come within some 2 s of its successor's raise: at 1.5 s, 364 were told in vain (inc-0dbb).
-TELL_ROUNDS = 3
-TELL_AT_ONCE = 16
-TELL_PATIENCE = timedelta(seconds=0.7)
-SUMMARY = timedelta(seconds=5)
-SAMPLE = 6  # machines that peers are told of
-COUNTED_OVER = 2000  # of the jobs that are over, the latest: how far their classes are served in a new term
-RETIRED_FOR = timedelta(minutes=2)  # far longer than the machine list lags
-HOLD_MOST = timedelta(seconds=2.7)  # workers give an answer up after 4 s, and late timers need some of that
-HOLD_STRAINED = timedelta(seconds=2.2)  # ... and more of it while they are late
-HOLD_IDLE = timedelta(seconds=2)
-HOLD_STEP = timedelta(milliseconds=100)  # they are looked at so often, and after each pass
-HOLD_BUSY = timedelta(milliseconds=200)  # somebody waits for the worker's news
-NEWS_RATE = 375  # reports a second that machines may send whose news nobody waits for, all together
+FINISH_RETRY_INTERVAL = timedelta(seconds=3)
+FINISH_BATCH_INTERVAL = timedelta(milliseconds=100)  # finished tasks are reported to claimants in batches
+RECLAIM_RETRY_INTERVAL = timedelta(seconds=1)
+MIN_FLEET_INTERVAL = timedelta(seconds=1)
+# With a large fleet the interval is this for each ready machine, if that is longer: a plan scans all waiting work.
+FLEET_INTERVAL_PER_MACHINE = timedelta(milliseconds=1.5)
+FLEET_STATE_FRESH_FOR = timedelta(seconds=1)
+TICK_INTERVAL = timedelta(milliseconds=250)
+MIN_PASS_PAUSE = timedelta(milliseconds=40)  # between placement passes, so that events close together share one pass
+# With a large fleet the pause is this for each ready machine, if that is longer: more events arrive.
+PASS_PAUSE_PER_MACHINE = timedelta(milliseconds=0.2)
+# Between rounds of notifications of a new term. The first round also waits for it if any machine has reported: most
+# machines report by themselves within this time.
+NOTIFY_INTERVAL = timedelta(seconds=4)
+# From the start of the term to the first round if no machine has reported by then: another leader is keeping all of
+# them. Workers that give up a partitioned leader report within about 2 s after its successor has raised the term: with
+# 1.5 s, 364 machines were notified needlessly (inc-0dbb).
+NOTIFY_DELAY = timedelta(seconds=2.2)
+NOTIFY_ROUNDS = 3
+MAX_CONCURRENT_NOTIFICATIONS = 16
+NOTIFY_CONNECT_TIMEOUT = timedelta(seconds=0.7)
+SUMMARY_INTERVAL = timedelta(seconds=5)
+MAX_SAMPLED_MACHINES = 6  # machines whose addresses are sent to peers
+# The latest ended jobs that count towards the service levels of their classes when a term starts.
+MAX_COUNTED_ENDED_JOBS = 2000
+RETURNED_IGNORED_FOR = timedelta(minutes=2)  # far longer than the cloud's machine list lags
+# Workers stop waiting for an answer after 4 s, and late timers need some of that.
+MAX_HOLD = timedelta(seconds=2.7)
+HOLD_OVERLOADED = timedelta(seconds=2.2)  # leaves more time for late timers while this node is overloaded
+HOLD_IDLE = timedelta(seconds=2)  # for machines without tasks
+HOLD_CHECK_INTERVAL = timedelta(milliseconds=100)  # held answers are also checked after each placement pass
+HOLD_AWAITED = timedelta(milliseconds=200)  # other work or a user waits for the worker's next report
+ROUTINE_REPORT_RATE = 375  # reports a second from all machines whose reports nothing waits for, together
 
 
 @dataclass(slots=True, eq=False)
 class HeldAnswer:
-    """An answer that is kept back, at most until ``due``."""
+    """An answer to a report, held until ``due`` at the latest."""
 
     machine: Machine
     report: Report
@@ -80,41 +88,50 @@
     answer: asyncio.Future[Answer]
 
 
-def _hold_for(machine: Machine, ready: int, overloaded: bool) -> timedelta:
-    """How long an answer that carries nothing may be kept back.
+def _hold_duration(machine: Machine, ready: int, overloaded: bool) -> timedelta:
+    """Returns how long an answer without commands may be held.
 
-    A worker has one report under way. A machine full of short tasks reported twice a
-    second, some hundred of them a thousand times. News of routine tasks can wait, the
-    longer the more machines are ``ready``, so that the reports of a fleet grow more slowly
-    than the fleet; so can that an image has come. Not so what urgent work waits for: room,
-    and gangs that gather or end.
+    A worker has one report in flight, so holding its answer delays its next report. A
+    machine full of short tasks reported twice a second, and some hundred such machines a
+    thousand times. Reports on routine tasks can wait, and so can reports that an image has
+    been fetched. The more machines are ``ready``, the longer they wait, so that the report
+    rate grows more slowly than the fleet. Reports that urgent work waits for can't wait: freed
+    capacity, and gangs that gather or end.
     """
     if not machine.live:
         return HOLD_IDLE
-    if machine.reserved.cpus > 0 or any(map(_waited_for, machine.live.values())):
-        return HOLD_BUSY
-    return HOLD_STRAINED if overloaded else min(max(timedelta(seconds=ready / NEWS_RATE), HOLD_BUSY), HOLD_MOST)
+    if machine.reserved.cpus > 0 or any(map(_is_awaited, machine.live.values())):
+        return HOLD_AWAITED
+    return (
+        HOLD_OVERLOADED
+        if overloaded
+        else min(max(timedelta(seconds=ready / ROUTINE_REPORT_RATE), HOLD_AWAITED), MAX_HOLD)
+    )
 
 
-def longest_hold(workers: WorkerFacts) -> timedelta:
-    """How long an answer may be kept back at the most, whatever for.
+def max_hold_duration(workers: WorkerFacts) -> timedelta:
+    """Returns the maximum time for which any answer may be held.
 
-    A worker's lease counts from the sending of the last report that was answered, so the next one has to be sent,
-    held and answered within it, and one of them may be lost on the way. With a lease of 4 s and answers held for
-    2 s, idle machines lost their leases all the time.
+    A worker's lease counts from the sending of the last report that was answered, so the next report has to be sent,
+    held and answered within the lease, even if one report or answer is lost. With a lease of 4 s and answers held
+    for 2 s, idle machines lost their leases all the time.
     """
     spare = workers.lease - workers.report * 1.25 - timedelta(seconds=1)
-    return max(min(spare / 4, HOLD_MOST), timedelta(0))
+    return max(min(spare / 4, MAX_HOLD), timedelta(0))
 
 
-def _waited_for(placement: Placement) -> bool:
-    """Whether something is held up until this task's next change is known here."""
+def _is_awaited(placement: Placement) -> bool:
+    """Whether other work or a user waits for the next change of this task."""
     spec = placement.spec
     return placement.stop_grace is not None or spec.priority.rank <= Priority.HIGH.rank or spec.shape is not Shape.ARRAY
 
 
 class LeaderRuntime:
-    """Lives for one term on the node that holds it."""
+    """Runs the dispatcher for one term, on the node that holds the term.
+
+    ``handle_report`` serves the workers. Background tasks place work, rent and return machines, poll the cloud's
+    machine list, keep the roster and notify machines of the term. ``stop`` ends them and answers all held reports.
+    """
 
     def __init__(
         self,
@@ -128,10 +145,10 @@
         facts: Facts,
         settings: OperatorSettings,
         authority: Callable[[], bool],
-        tell_finished: Callable[[str, dict[str, list[int]]], None],
-        ask_reclaim: Callable[[str, str, int], None],
-        steer: Callable[[], Answer],
-        superseded: Callable[[], None],
+        notify_finished: Callable[[str, dict[str, list[int]]], None],
+        request_reclaim: Callable[[str, str, int], None],
+        redirect: Callable[[], Answer],
+        on_newer_token: Callable[[], None],
         load_monitor: LoadMonitor,
         rng: random.Random,
     ) -> None:
@@ -145,24 +162,24 @@
         self._facts = facts
         self._settings = settings
         self._authority = authority
-        self._tell_finished = tell_finished
-        self._ask_reclaim = ask_reclaim
-        self._steer = steer
-        self._superseded = superseded
+        self._notify_finished = notify_finished
+        self._request_reclaim = request_reclaim
+        self._redirect = redirect
+        self._on_newer_token = on_newer_token
         self._load_monitor = load_monitor
-        self._longest_hold = longest_hold(dispatcher.workers)
+        self._max_hold = max_hold_duration(dispatcher.workers)
         self._holds: dict[str, HeldAnswer] = {}  # by machine
-        self._due: list[tuple[timedelta, int, HeldAnswer]] = []  # a heap of the same and of some that have left
-        self._order = count()
-        self._woken: dict[str, None] = {}  # machines that commands wait for, in order
+        self._due_holds: list[tuple[timedelta, int, HeldAnswer]] = []  # heap; also has answers already released
+        self._hold_numbers = count()
+        self._woken: dict[str, None] = {}  # machines with pending commands, in order
         self._work = asyncio.Event()
         self._refusals = fleet.Refusals()
         self._idle_history = fleet.IdleHistory()
-        self._rentals = 0
+        self._rental_count = 0
         self._random = rng
-        self._said = clock.now()
+        self._notified_at = clock.now()
         self._renting: set[Offer] = set()
-        self._retired: dict[str, timedelta] = {}  # given back: lists may show them for a while
+        self._returned: dict[str, timedelta] = {}  # when; machine lists may show them for a while
         self._tasks: list[asyncio.Task[None]] = []
         self._calls: set[asyncio.Task[None]] = set()
         self._roster = Roster(dispatcher.term, client, view, session, self._work.set)
@@ -172,29 +189,37 @@
         dispatcher.is_ended = view.final.__contains__
         view.on_job.append(self._record_changed)
 
-    # -- life -----------------------------------------------------------------
+    # -- lifecycle ------------------------------------------------------------
 
     def start(self, types: list[MachineType]) -> None:
+        """Loads the job records and starts the background tasks."""
         self.dispatcher.set_types(types)
-        for final in nlargest(COUNTED_OVER, self._view.final.values(), key=attrgetter("version")):
+        for final in nlargest(MAX_COUNTED_ENDED_JOBS, self._view.final.values(), key=attrgetter("version")):
             self.dispatcher.cluster_state.service_levels.job_ended(
                 final.footprint.jobclass, final.status is JobStatus.DONE
             )
         for job in self._view.jobs:
             self._record_changed(job)
         log.info(
-            "term %d begins: %d jobs, %d machines on the roster",
+            "term %d started: %d jobs, %d machines on the roster",
             self.dispatcher.term,
             len(self._view.jobs),
             len(self.dispatcher.machines),
         )
         self._tasks = [
             asyncio.ensure_future(loop)
-            for loop in (self._decide(), self._run_fleet(), self._run_list(), self._roster.run(), self._tell())
+            for loop in (
+                self._decide(),
+                self._run_fleet(),
+                self._poll_machine_list(),
+                self._roster.run(),
+                self._notify_unreported(),
+            )
         ]
 
     def stop(self) -> None:
-        log.info("term %d ends here", self.dispatcher.term)
+        """Cancels the background tasks and answers all held reports."""
+        log.info("term %d ended on this node", self.dispatcher.term)
         self._view.on_job.remove(self._record_changed)
         for task in [*self._tasks, *self._calls]:
             task.cancel()
@@ -207,7 +232,7 @@
         entry = self._view.jobs.get(job)
         now = self._clock.now()
         if job in self._view.unreadable:
-            return  # what runs of it runs on
+            return  # its running tasks continue
         if entry is None:
             done = self._view.status_of(job) is JobStatus.DONE
             self.dispatcher.set_record(job, None, None, now, done=done)
@@ -216,13 +241,17 @@
         self._work.set()
 
     @property
-    def _ready(self) -> int:
+    def _ready_count(self) -> int:
         return len(self.dispatcher.pool.states[MachineState.READY])
 
     def sample_addresses(self) -> list[str]:
-        """Addresses of a few machines that report here, for whoever has to know whether it reaches them."""
+        """Returns addresses of a few random ready machines, for nodes that probe whether they reach workers."""
         ready = list(self.dispatcher.pool.states[MachineState.READY].values())
-        return [machine.address for machine in self._random.sample(ready, min(SAMPLE, len(ready))) if machine.address]
+        return [
+            machine.address
+            for machine in self._random.sample(ready, min(MAX_SAMPLED_MACHINES, len(ready)))
+            if machine.address
+        ]
 
     def set_types(self, types: list[MachineType]) -> None:
         self.dispatcher.set_types(types)
@@ -234,7 +263,7 @@
     # -- reports --------------------------------------------------------------
 
     def handle_report(self, report: Report) -> Answer | Awaitable[Answer]:
-        """What a worker is answered, at once or after a short while in which more may be decided for it."""
+        """Answers a worker's report, at once or after a short hold during which more commands may be added."""
         try:
             machine = self.dispatcher.handle_report(report, self._clock.now())
         except StaleReport:
@@ -242,8 +271,8 @@
         except Malformed as error:
             return error_answer(400, str(error))
         except NewerToken:
-            self._superseded()
-            return self._steer()
+            self._on_newer_token()
+            return self._redirect()
         if self.dispatcher.needs_placement:
             self._work.set()
         if report.token >= self.dispatcher.term and machine.settled:
@@ -255,25 +284,25 @@
 
     def _answer(self, machine: Machine, report: Report) -> Answer:
         if not self._authority():
-            # Commands are taken only now, so none is lost with this answer. Where a peer commands, the
-            # worker goes there at once, not a second later to whichever node comes next.
-            return self._steer()
+            # Commands are taken only below, so none is lost with this answer. If a peer leads, the worker goes
+            # there at once instead of trying the next node in its list a second later.
+            return self._redirect()
         commands = self.dispatcher.take_commands(machine, report, self._clock.now())
         return Answer(200, messages.encode(ReportAnswer(self.dispatcher.term, commands)))
 
     def _hold(self, machine: Machine, report: Report) -> asyncio.Future[Answer]:
-        """Keeps the answer back a little, so that what is decided meanwhile goes at once.
+        """Holds the answer for a short time, so that commands decided meanwhile are sent at once.
 
-        It has neither a task nor a timer of its own: with a thousand machines these were a
-        good part of what a report cost. The deciding loop lets go what is due.
+        A held answer has neither a task nor a timer of its own: with a thousand machines these
+        were a good part of the cost of a report. The decision loop releases answers that are due.
         """
-        span = min(_hold_for(machine, self._ready, self._load_monitor.overloaded), self._longest_hold)
-        due = self._clock.now() + span
+        duration = min(_hold_duration(machine, self._ready_count, self._load_monitor.overloaded), self._max_hold)
+        due = self._clock.now() + duration
         hold = HeldAnswer(machine, report, due, asyncio.get_running_loop().create_future())
         self._holds[machine.name] = hold
-        heappush(self._due, (due, next(self._order), hold))
+        heappush(self._due_holds, (due, next(self._hold_numbers), hold))
         if self.dispatcher.has_commands(machine):
-            self._woken[machine.name] = None  # it leaves after the pass that is due
+            self._woken[machine.name] = None  # released after the next placement pass
         return hold.answer
 
     def _release(self, hold: HeldAnswer) -> None:
@@ -283,7 +312,7 @@
         if hold.answer.done():
             return
         if not machine.settled or (machine.session, machine.seq) != (report.session, report.seq):
-            # Newer news have come, or what this report showed does not hold any more: no lease is renewed for it.
+            # A newer report has arrived, or this one no longer shows the machine's state: it must not renew the lease.
             hold.answer.set_result(Answer(503, b'{"error":"late"}'))
             return
         try:
@@ -292,50 +321,50 @@
             hold.answer.set_exception(error)
 
     def _release_holds(self) -> None:
-        """Lets go the answers that commands wait for, and those whose time is over."""
+        """Releases answers for machines with pending commands, and answers that are due."""
         woken, self._woken = self._woken, {}
         for name in woken:
             hold = self._holds.get(name)
             if hold is not None:
                 self._release(hold)
         now = self._clock.now()
-        while self._due and self._due[0][0] <= now:
-            self._release(heappop(self._due)[2])
+        while self._due_holds and self._due_holds[0][0] <= now:
+            self._release(heappop(self._due_holds)[2])
 
     # -- decisions ------------------------------------------------------------
 
     async def _decide(self) -> None:
-        summed = ticked = self._clock.now()
+        last_summary = last_tick = self._clock.now()
         while True:
-            await wait_for_event(self._work, HOLD_STEP if self._holds else TICK)
+            await wait_for_event(self._work, HOLD_CHECK_INTERVAL if self._holds else TICK_INTERVAL)
             self._work.clear()
             now = self._clock.now()
             try:
-                if now - ticked >= TICK:
-                    ticked = now
+                if now - last_tick >= TICK_INTERVAL:
+                    last_tick = now
                     self.dispatcher.tick(now, self._view.read_sent)
                 if self.dispatcher.cluster_state.types:
                     self.dispatcher.place_tasks(now)
-                self._stop_directly()
-                self._say(now)
-                if log.isEnabledFor(logging.DEBUG) and now - summed >= SUMMARY:
-                    summed = now
+                self._send_direct_stops()
+                self._notify_claimants(now)
+                if log.isEnabledFor(logging.DEBUG) and now - last_summary >= SUMMARY_INTERVAL:
+                    last_summary = now
                     log.debug("%s", self.dispatcher.summary())
             except Exception:
-                log.exception("deciding failed")
+                log.exception("decision pass failed")
             self._release_holds()
             if self.dispatcher.needs_placement:
-                self._work.set()  # the pass was stopped to let others have their turn
-            # A pass that took long is followed by a longer pause: reports and reads come first.
-            least = max(PASS_PAUSE, self._ready * PASS_PAUSE_EACH)
-            pause = self._load_monitor.pause_after(self._clock.now() - now, DECIDING_SHARE, least)
+                self._work.set()  # the pass stopped early to let other tasks of the event loop run
+            # A long pass is followed by a longer pause: reports and state reads have priority.
+            min_pause = max(MIN_PASS_PAUSE, self._ready_count * PASS_PAUSE_PER_MACHINE)
+            pause = self._load_monitor.pause_for_share(self._clock.now() - now, DECIDING_SHARE, min_pause)
             await asyncio.sleep(pause.total_seconds())
 
-    def _stop_directly(self) -> None:
+    def _send_direct_stops(self) -> None:
         stopping = self.dispatcher.pending_direct_stops
         for name, machine in list(stopping.items()):
             if not (machine.settled and machine.address) or name in self._holds:
-                del stopping[name]  # an answer that is held back takes them along at once
+                del stopping[name]  # a held answer will carry the stops at once
                 continue
             if not self._authority():
                 return
@@ -343,74 +372,74 @@
             commands = self.dispatcher.direct_stops(machine)
             if commands:
                 body = messages.encode(DirectCommands(self.dispatcher.term, machine.session, commands))
-                self._spawn(self._send_directly(machine.address, body))
+                self._spawn(self._send_direct_stop(machine.address, body))
 
-    async def _send_directly(self, address: str, body: bytes) -> None:
+    async def _send_direct_stop(self, address: str, body: bytes) -> None:
         client = Client(address, connect_timeout=timedelta(seconds=1))
         try:
             await client.request(
                 "POST", names.PATH_COMMANDS, body, timeout=timedelta(seconds=2), permit=self._authority
             )
         except (NoAnswer, ValueError) as error:
-            log.debug("direct stop: %s", error)
+            log.debug("direct stop failed: %s", error)
         finally:
             client.close()
 
-    # -- the token ------------------------------------------------------------
+    # -- notifications --------------------------------------------------------
 
-    async def _tell(self) -> None:
-        """Tells machines of the new token that have not come by themselves.
+    async def _notify_unreported(self) -> None:
+        """Notifies machines that have not reported in this term of its token.
 
-        An older leader without the state service and all other controllers goes on answering its
-        workers, and hears of its successor from nobody but them (docs/design.md, "Left with its workers alone").
+        An older leader that has lost the state service and all other controllers continues to answer its workers.
+        It learns of its successor only from them (docs/design.md, "Left with its workers alone").
         """
-        await asyncio.sleep(TELL_NOBODY.total_seconds())
-        if self._ready:
-            await asyncio.sleep(TELL_AFTER.total_seconds())
-        for _ in range(TELL_ROUNDS):
+        await asyncio.sleep(NOTIFY_DELAY.total_seconds())
+        if self._ready_count:
+            await asyncio.sleep(NOTIFY_INTERVAL.total_seconds())
+        for _ in range(NOTIFY_ROUNDS):
             waiting = [machine for machine in self.dispatcher.unreported_machines() if machine.address]
             if waiting:
-                log.info("telling %d machines of term %d", len(waiting), self.dispatcher.term)
-            for begin in range(0, len(waiting), TELL_AT_ONCE):
-                await asyncio.gather(*map(self._tell_one, waiting[begin : begin + TELL_AT_ONCE]))
-            await asyncio.sleep(TELL_AFTER.total_seconds())
+                log.info("notifying %d machines of term %d", len(waiting), self.dispatcher.term)
+            for start in range(0, len(waiting), MAX_CONCURRENT_NOTIFICATIONS):
+                await asyncio.gather(*map(self._notify_machine, waiting[start : start + MAX_CONCURRENT_NOTIFICATIONS]))
+            await asyncio.sleep(NOTIFY_INTERVAL.total_seconds())
 
-    async def _tell_one(self, machine: Machine) -> None:
+    async def _notify_machine(self, machine: Machine) -> None:
         try:
-            client = Client(machine.address, connect_timeout=TELL_PATIENCE)
+            client = Client(machine.address, connect_timeout=NOTIFY_CONNECT_TIMEOUT)
         except ValueError:
-            return  # that is no address; the others are told all the same
+            return  # invalid address; the other machines are still notified
         try:
-            async with asyncio.timeout(2 * TELL_PATIENCE.total_seconds()):
+            async with asyncio.timeout(2 * NOTIFY_CONNECT_TIMEOUT.total_seconds()):
                 _, body = await client.request("GET", names.PATH_STATUS)
                 report = messages.decode(Report, body)
                 self.dispatcher.notified_directly(machine, report)
                 orders = messages.encode(DirectCommands(self.dispatcher.term, report.session, []))
                 await client.request("POST", names.PATH_COMMANDS, orders, permit=self._authority)
         except (NoAnswer, Malformed, TimeoutError) as error:
-            log.debug("machine %s was not told: %s", machine.name, error)
+            log.debug("machine %s was not notified of the term: %s", machine.name, error)
         finally:
             client.close()
 
-    def _say(self, now: timedelta) -> None:
-        """Tells claimants of finishes, and asks for attempts, until their records show it."""
-        if now - self._said >= SAY_PAUSE:
-            self._said = now
+    def _notify_claimants(self, now: timedelta) -> None:
+        """Reports finished tasks to claimants and requests new attempts from them, until the job records show both."""
+        if now - self._notified_at >= FINISH_BATCH_INTERVAL:
+            self._notified_at = now
             finishes: dict[str, dict[str, list[int]]] = {}
             for job, run in self.dispatcher.cluster_state.unrecorded.items():
                 claimant = run.record.claimant
-                if claimant is not None and (run.notified_at is None or now - run.notified_at >= SAY_AGAIN):
+                if claimant is not None and (run.notified_at is None or now - run.notified_at >= FINISH_RETRY_INTERVAL):
                     run.notified_at = now
                     finishes.setdefault(claimant.node, {})[job] = sorted(run.unrecorded)
             for node, jobs in finishes.items():
-                self._tell_finished(node, jobs)
+                self._notify_finished(node, jobs)
         for job, run in self.dispatcher.backlog.awaiting_attempt.items():
             claimant = run.record.claimant
             if claimant is not None and (
-                run.reclaim_requested_at is None or now - run.reclaim_requested_at >= RECLAIM_AGAIN
+                run.reclaim_requested_at is None or now - run.reclaim_requested_at >= RECLAIM_RETRY_INTERVAL
             ):
                 run.reclaim_requested_at = now
-                self._ask_reclaim(claimant.node, job, run.record.attempt)
+                self._request_reclaim(claimant.node, job, run.record.attempt)
 
     # -- fleet ----------------------------------------------------------------
 
@@ -419,58 +448,59 @@
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
 
-    def _may_order(self) -> bool:
-        """Whether the cloud may be asked to rent or to take back.
+    def _may_change_fleet(self) -> bool:
+        """Whether machines may be rented or returned now.
 
-        A request can be held by a cut and carried out minutes later, when another node
-        commands. A leader cut off from everything saw all machines fall silent, asked the
-        cloud again and again to take them back, and when the cut ended all of them went,
-        with the work that its successor had kept running. So nothing is ordered unless
-        the state service was read just now, which far outpaces the silence of a lease.
+        A request can be delayed by a network partition and carried out minutes later, when
+        another node leads. A leader partitioned from everything saw all machines fall silent
+        and asked the cloud again and again to take them back. When the partition ended, all of
+        them were returned, with the work that its successor had kept running. So no request is
+        sent unless the last read of the state service is recent (FLEET_STATE_FRESH_FOR). That
+        limit expires long before a machine has been silent for its lease.
         """
-        return self._authority() and self._view.age() <= ORDER_FRESH
+        return self._authority() and self._view.age() <= FLEET_STATE_FRESH_FOR
 
     async def _run_fleet(self) -> None:
-        pause = FLEET_INTERVAL
+        pause = MIN_FLEET_INTERVAL
         while True:
             await asyncio.sleep(pause.total_seconds())
             now = self._clock.now()
-            if not self._may_order() or not self.dispatcher.cluster_state.types:
+            if not self._may_change_fleet() or not self.dispatcher.cluster_state.types:
                 continue
             try:
                 for offer, count in fleet.plan_rentals(self.dispatcher.cluster_state, self._refusals, now).items():
                     if offer not in self._renting:
                         self._renting.add(offer)
                         self._spawn(self._rent(offer, min(count, fleet.MOST_RENTED_AT_ONCE)))
-                back = fleet.plan_returns(
+                returning = fleet.plan_returns(
                     self.dispatcher.cluster_state, self._idle_history, now, self._settings.idle_return
                 )[:100]
-                if back:
-                    for machine in back:
+                if returning:
+                    for machine in returning:
                         machine.move(MachineState.RETURNING)
-                    self._spawn(self._give_back(back))
+                    self._spawn(self._return_machines(returning))
             except Exception:
                 log.exception("fleet planning failed")
-            least = max(FLEET_INTERVAL, self._ready * FLEET_EACH)
-            pause = self._load_monitor.pause_after(self._clock.now() - now, PLANNING_SHARE, least)
+            min_pause = max(MIN_FLEET_INTERVAL, self._ready_count * FLEET_INTERVAL_PER_MACHINE)
+            pause = self._load_monitor.pause_for_share(self._clock.now() - now, PLANNING_SHARE, min_pause)
 
     async def _rent(self, offer: Offer, count: int) -> None:
-        self._rentals += 1
+        self._rental_count += 1
         type_name, zone, spot = offer
-        # Term and counter: no name is ever used again, whichever node asks.
-        request = RentRequest(f"t{self.dispatcher.term}-{self._rentals}", type_name, zone, spot, count)
+        # Term and counter make the request name unique across all nodes and terms.
+        request = RentRequest(f"t{self.dispatcher.term}-{self._rental_count}", type_name, zone, spot, count)
         try:
             for _ in range(3):
-                if not self._may_order():
+                if not self._may_change_fleet():
                     return
                 try:
-                    hosts = await self._cloud.rent(request, self._may_order)
+                    hosts = await self._cloud.rent(request, self._may_change_fleet)
                     break
                 except CloudError as error:
-                    log.info("rental %s: %s", request.request, error)
+                    log.info("rental %s failed: %s", request.request, error)
                     await asyncio.sleep(1)
             else:
-                return  # what it rented all the same shows in the list
+                return  # machines rented despite the errors will show in the machine list
             now = self._clock.now()
             log.info("rented %d of %d %s in %s, spot=%s: %s", len(hosts), count, type_name, zone, spot, " ".join(hosts))
             for name in hosts:
@@ -481,51 +511,53 @@
             else:
                 self._refusals.granted(offer)
         except NotPermitted:
-            log.info("rental %s not sent: the state service was not read just now", request.request)
+            log.info("rental %s not sent: no authority or no recent read of the state service", request.request)
         except NoCapacity:
             log.info("no capacity: %s in %s, spot=%s", type_name, zone, spot)
             self._refusals.refused(offer, self._clock.now())
         finally:
             self._renting.discard(offer)
 
-    async def _give_back(self, machines: list[Machine]) -> None:
+    async def _return_machines(self, machines: list[Machine]) -> None:
         hosts = [machine.name for machine in machines]
-        log.info("returning %s", " ".join(hosts))
+        log.info("returning to the cloud: %s", " ".join(hosts))
         while True:
-            if not self._may_order():
+            if not self._may_change_fleet():
                 await asyncio.sleep(0.5)
                 continue
             try:
-                await self._cloud.return_machines(hosts, self._may_order)
+                await self._cloud.return_machines(hosts, self._may_change_fleet)
                 break
             except NotPermitted:
                 continue
             except (CloudError, NoCapacity) as error:
-                log.info("return: %s", error)
+                log.info("returning machines failed: %s", error)
                 await asyncio.sleep(1)
         now = self._clock.now()
         for machine in machines:
-            self._retired[machine.name] = now
+            self._returned[machine.name] = now
             self.dispatcher.machine_returned(machine, now)
         self._work.set()
         self._roster.remove(hosts)
 
-    async def _run_list(self) -> None:
-        """Looks for machines nobody expects, and for those that have failed."""
+    async def _poll_machine_list(self) -> None:
+        """Polls the cloud's machine list for unknown machines and for failed ones."""
         pause = max(self._facts.cloud.list_lag.total_seconds(), 2.0)
         while True:
             try:
                 listed = await self._cloud.machines()
             except (CloudError, NoCapacity) as error:
-                log.debug("list: %s", error)
+                log.debug("machine list failed: %s", error)
                 await asyncio.sleep(1)
                 continue
             now = self._clock.now()
-            self._retired = {name: since for name, since in self._retired.items() if now - since < RETIRED_FOR}
+            self._returned = {
+                name: since for name, since in self._returned.items() if now - since < RETURNED_IGNORED_FOR
+            }
             for entry in listed:
                 machine = self.dispatcher.machines.get(entry.machine)
                 if machine is None:
-                    if entry.machine not in self._retired:
+                    if entry.machine not in self._returned:
                         machine = self.dispatcher.cluster_state.add_machine(
                             entry.machine, entry.type, entry.zone, entry.spot, now, MachineState.BOOTING
                         )
@@ -533,11 +565,11 @@
                         continue
                 if machine is not None and not machine.address:
                     machine.address = entry.address
-                # Lists are late and go back in time. What has reported in this term is judged by its lease, which
-                # is over long before the cloud lists a machine as failed (30 s).
-                unheard = (MachineState.BOOTING, MachineState.UNSETTLED)
+                # Machine lists lag and can be older than an earlier one. A machine that has reported in this term is
+                # judged by its lease, which expires long before the cloud lists the machine as failed (30 s).
+                not_reported = (MachineState.BOOTING, MachineState.UNSETTLED)
                 failed = entry.status is MachineStatus.FAILED
-                if machine is not None and failed and machine.state in unheard and machine.answered is None:
+                if machine is not None and failed and machine.state in not_reported and machine.answered is None:
                     self.dispatcher.machine_lost(machine, "the cloud lists it as failed", now)
             self._work.set()
             await asyncio.sleep(pause)
--- a/gingerspar/coordination/leader/load_monitor.py
+++ b/gingerspar/coordination/leader/load_monitor.py
@@ -1,9 +1,9 @@
-"""Whether this node's processor keeps up, and what it does less of when it doesn't.
+"""Detects that this node's processor is overloaded, and limits background work meanwhile.
 
-A node has a part of one core, and a slow one at that. Timers that fire late show that it
-falls behind before anything else does. Overload is a state with a name, entered and left
-in one place; while it lasts, deciding and planning take smaller shares, so that reports,
-reads of the state service and users' requests keep theirs.
+A node has a fraction of one slow core. Late timers are the first sign that it falls behind.
+Overload is an explicit state, entered and left in one place. While it lasts, placement
+decisions and fleet planning get smaller shares of the time, so that reports, reads of the
+state service and users' requests keep theirs.
 """
 
 import asyncio
@@ -15,11 +15,13 @@
 
 log = logging.getLogger(__name__)
 
-SMOOTHING = 0.2  # of the newest pulse
-ENTER = timedelta(milliseconds=120)  # pulses that late, smoothed, are overload
-LEAVE = timedelta(milliseconds=40)
-CALM = timedelta(seconds=3)  # they must have been below LEAVE for so long
-MAX_COUNTED_LATENESS = timedelta(seconds=0.5)  # of one late pulse: a process that stood still once is not overloaded
+SMOOTHING_FACTOR = 0.2  # weight of the newest sample in the moving average
+OVERLOAD_ENTER_LATENESS = timedelta(milliseconds=120)  # smoothed lateness above this is overload
+OVERLOAD_LEAVE_LATENESS = timedelta(milliseconds=40)
+# Overload ends once the smoothed lateness has stayed at or below OVERLOAD_LEAVE_LATENESS for this time.
+OVERLOAD_LEAVE_AFTER = timedelta(seconds=3)
+# Limit on the lateness counted for one timer: a process that was paused once is not overloaded.
+MAX_COUNTED_LATENESS = timedelta(seconds=0.5)
 
 
 class LoadState(Enum):
@@ -27,19 +29,19 @@
     OVERLOADED = "overloaded"
 
 
-# Shares of the time, the rest is for reports, reads and users' requests.
+# Maximum shares of this node's time; the rest is for reports, state reads and users' requests.
 DECIDING_SHARE = {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.3}
 PLANNING_SHARE = {LoadState.NORMAL: 0.1, LoadState.OVERLOADED: 0.05}
 
 
 class LoadMonitor:
-    """Runs in every node."""
+    """Measures timer lateness and keeps the load state; runs in every node."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self.state = LoadState.NORMAL
-        self.lateness = timedelta(0)  # smoothed
-        self._calm_since: timedelta | None = None
+        self.lateness = timedelta(0)  # moving average
+        self._below_leave_since: timedelta | None = None
 
     @property
     def overloaded(self) -> bool:
@@ -48,29 +50,33 @@
     def _move(self, state: LoadState) -> None:
         """The only place where the state changes."""
         log.info(
-            "strain: %s -> %s, timers %.0f ms late", self.state.value, state.value, self.lateness.total_seconds() * 1000
+            "load: %s -> %s, timers %.0f ms late", self.state.value, state.value, self.lateness.total_seconds() * 1000
         )
         self.state = state
 
-    async def sleep(self, span: timedelta) -> None:
-        """Sleeps, and notes how much later than asked the timer fired."""
-        due = self._clock.now() + span
-        await asyncio.sleep(span.total_seconds())
+    async def sleep(self, duration: timedelta) -> None:
+        """Sleeps for ``duration`` and records how late the timer fired."""
+        due = self._clock.now() + duration
+        await asyncio.sleep(duration.total_seconds())
         now = self._clock.now()
         self.record_lateness(now - due, now)
 
     def record_lateness(self, late: timedelta, now: timedelta) -> None:
-        """A timer fired ``late`` after its time; called some ten times a second."""
-        self.lateness += (min(max(late, timedelta(0)), MAX_COUNTED_LATENESS) - self.lateness) * SMOOTHING
-        if self.lateness > LEAVE:
-            self._calm_since = None
-        elif self._calm_since is None:
-            self._calm_since = now
-        if self.state is LoadState.NORMAL and self.lateness > ENTER:
+        """Records that a timer fired ``late`` after its due time; called about ten times a second."""
+        self.lateness += (min(max(late, timedelta(0)), MAX_COUNTED_LATENESS) - self.lateness) * SMOOTHING_FACTOR
+        if self.lateness > OVERLOAD_LEAVE_LATENESS:
+            self._below_leave_since = None
+        elif self._below_leave_since is None:
+            self._below_leave_since = now
+        if self.state is LoadState.NORMAL and self.lateness > OVERLOAD_ENTER_LATENESS:
             self._move(LoadState.OVERLOADED)
-        elif self.overloaded and self._calm_since is not None and now - self._calm_since >= CALM:
+        elif (
+            self.overloaded
+            and self._below_leave_since is not None
+            and now - self._below_leave_since >= OVERLOAD_LEAVE_AFTER
+        ):
             self._move(LoadState.NORMAL)
 
-    def pause_after(self, spent: timedelta, shares: dict[LoadState, float], least: timedelta) -> timedelta:
-        """How long an activity that took ``spent`` has to rest to keep to its share."""
-        return max(least, spent * (1 / shares[self.state] - 1))
+    def pause_for_share(self, spent: timedelta, shares: dict[LoadState, float], min_pause: timedelta) -> timedelta:
+        """Returns how long an activity that took ``spent`` must pause to keep to its share, at least ``min_pause``."""
+        return max(min_pause, spent * (1 / shares[self.state] - 1))
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -96,7 +96,7 @@
     def rates(state_age: float) -> tuple[float, float]:
         controller = Controller(parse_settings(Cluster().settings("n0")), OperatorSettings())
         for peer in ("n1", "n2"):
-            controller._hear(peers.pack(peers.Heartbeat(peer, 1, False, state_age, 0, writes=30.0)))
+            controller._receive(peers.pack(peers.Heartbeat(peer, 1, False, state_age, 0, writes=30.0)))
         controller._share_writes()
         return round(controller._client.write_rate), round(controller._client._requests.rate)
 
--- a/tests/test_leader_runtime.py
+++ b/tests/test_leader_runtime.py
@@ -13,13 +13,13 @@
 from gingerspar.coordination.cluster.machine import MachineState, Placement, TaskState
 from gingerspar.coordination.leader.dispatcher import Dispatcher
 from gingerspar.coordination.leader.leader_runtime import (
-    HOLD_BUSY,
+    HOLD_AWAITED,
     HOLD_IDLE,
-    HOLD_MOST,
-    HOLD_STRAINED,
+    HOLD_OVERLOADED,
+    MAX_HOLD,
     LeaderRuntime,
-    _hold_for,
-    longest_hold,
+    _hold_duration,
+    max_hold_duration,
 )
 from gingerspar.coordination.leader.load_monitor import LoadMonitor, LoadState
 from gingerspar.coordination.machines.cloud import CloudClient, NotPermitted
@@ -76,7 +76,7 @@
     machine = dispatcher.cluster_state.add_machine("n-1", "big", "a", False, timedelta(0), MachineState.LOST)
     machine.move(MachineState.RETURNING)
     runtime = _runtime(cloud, dispatcher, age)
-    returning = asyncio.ensure_future(runtime._give_back([machine]))
+    returning = asyncio.ensure_future(runtime._return_machines([machine]))
     await runtime._rent(("big", "a", False), 1)
     await asyncio.sleep(0.05)
     assert returning.done() == bool(cloud.returned)
@@ -108,7 +108,7 @@
         return [ListedMachine(name, "big", "a", MachineStatus.FAILED) for name in ("n-1", "n-2", "n-3")]
 
     runtime = _runtime(SimpleNamespace(machines=machines), dispatcher, [timedelta(0)])
-    listing = asyncio.ensure_future(runtime._run_list())
+    listing = asyncio.ensure_future(runtime._poll_machine_list())
     await asyncio.sleep(0.05)
     listing.cancel()
     return dispatcher
@@ -181,19 +181,21 @@
 def test_deciding_takes_a_smaller_share_under_overload() -> None:
     load_monitor = LoadMonitor(Clock())
     spent, least = timedelta(milliseconds=30), timedelta(milliseconds=20)
-    easy = load_monitor.pause_after(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least)
+    easy = load_monitor.pause_for_share(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least)
     load_monitor.state = LoadState.OVERLOADED
-    hard = load_monitor.pause_after(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least)
+    hard = load_monitor.pause_for_share(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least)
     assert (easy, hard) == (spent, spent * 3)
-    assert load_monitor.pause_after(timedelta(0), {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least) == least
+    assert (
+        load_monitor.pause_for_share(timedelta(0), {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least) == least
+    )
 
 
 def test_two_held_answers_and_a_lost_one_fit_into_a_lease() -> None:
     for lease in (4.0, 6.0, 10.0, 18.0):
         for report in (0.3, 1.0, 2.5):
             workers = WorkerFacts(report_s=report, lease_s=lease, cancel_s=3 * lease)
-            assert longest_hold(workers) * 4 + timedelta(seconds=1.25 * report) <= timedelta(seconds=lease)
-    assert longest_hold(WorkerFacts(report_s=2.5, lease_s=16, cancel_s=36)) == HOLD_MOST  # nothing changes there
+            assert max_hold_duration(workers) * 4 + timedelta(seconds=1.25 * report) <= timedelta(seconds=lease)
+    assert max_hold_duration(WorkerFacts(report_s=2.5, lease_s=16, cancel_s=36)) == MAX_HOLD  # nothing changes there
 
 
 def test_answers_are_held_as_long_as_nothing_urgent_waits_for_them() -> None:
@@ -201,7 +203,7 @@
     cluster_state = Dispatcher(1, timedelta(0), WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43), []).cluster_state
     cluster_state.set_types([MachineType("big", 16, 64, zones=("a",), price=1.0, boot_s=20)])
     machine = cluster_state.add_machine("n-1", "big", "a", False, timedelta(0), MachineState.BOOTING)
-    assert _hold_for(machine, 600, False) == HOLD_IDLE
+    assert _hold_duration(machine, 600, False) == HOLD_IDLE
     spec = JobSpec("wk-000001", "c", "red", Shape.ARRAY, Priority.NORMAL, 2, 4.0, 8.0)
     run = JobRun(spec, JobRecord(spec, JobStatus.RUNNING), TaskSet(2), TaskSet(2))
     cluster_state.runs[spec.job] = run
@@ -210,12 +212,12 @@
     # With few machines nothing is gained by waiting; with many it keeps their reports to 375 a second.
     for state in (TaskState.FETCHING, TaskState.RUNNING):
         cluster_state.move_task(placement, state, timedelta(1))
-        assert _hold_for(machine, 30, False) == HOLD_BUSY
-        assert _hold_for(machine, 600, False) == timedelta(seconds=1.6)
-        assert _hold_for(machine, 5000, False) == HOLD_MOST
-        assert _hold_for(machine, 30, True) == HOLD_STRAINED
+        assert _hold_duration(machine, 30, False) == HOLD_AWAITED
+        assert _hold_duration(machine, 600, False) == timedelta(seconds=1.6)
+        assert _hold_duration(machine, 5000, False) == MAX_HOLD
+        assert _hold_duration(machine, 30, True) == HOLD_OVERLOADED
     machine.reserve(spec, 1)
-    assert _hold_for(machine, 600, True) == HOLD_BUSY  # a gang waits for room here
+    assert _hold_duration(machine, 600, True) == HOLD_AWAITED  # a gang waits for room here
     machine.reserve(spec, -1)
     cluster_state.stop_task(placement, timedelta(0), timedelta(1))
-    assert _hold_for(machine, 600, True) == HOLD_BUSY  # somebody waits for its end
+    assert _hold_duration(machine, 600, True) == HOLD_AWAITED  # somebody waits for its end
--- a/tests/test_reports_without_leader.py
+++ b/tests/test_reports_without_leader.py
@@ -21,10 +21,10 @@
     request = Request("POST", names.PATH_REPORT, "", msgspec.json.encode(REPORT))
     waiting = asyncio.ensure_future(controller._handle(request))  # type: ignore[arg-type]
     await asyncio.sleep(0.1)
-    controller._hear(peers.pack(peers.Heartbeat("n2", 3, False, 0.1, 0)))  # it doesn't command either
+    controller._receive(peers.pack(peers.Heartbeat("n2", 3, False, 0.1, 0)))  # it doesn't command either
     await asyncio.sleep(0.1)
     early = waiting.done()
-    controller._hear(peers.pack(peers.Heartbeat("n1", 4, True, 0.1, 0)))
+    controller._receive(peers.pack(peers.Heartbeat("n1", 4, True, 0.1, 0)))
     return early, await asyncio.wait_for(waiting, 0.5)
 
 
