--- a/gingerspar/coordination/cluster/delivery.py
+++ b/gingerspar/coordination/cluster/delivery.py
@@ -1,8 +1,9 @@
-"""Whether a machine hears what it is told.
+"""Delivery of answers to a machine: whether what the leader sends reaches it.
 
-Its reports may arrive though neither answers nor commands reach it. Such a worker gives each
-controller up after 4 s and goes round all of them; its lease runs out again and again, and to each
-it looks alive. What is sent to it is lost, so it gets no work until it shows that it hears.
+In a one-way network failure a machine's reports arrive, but neither answers nor commands reach it.
+Its worker waits 4 s for each controller, then tries the next one, and goes round all of them. Its lease
+runs out again and again, while each controller sees a live machine. What is sent to it is lost, so it gets
+no work until its reports show that it receives answers.
 """
 
 import logging
@@ -12,54 +13,61 @@
 
 log = logging.getLogger(__name__)
 
-GIVEN_UP = timedelta(seconds=4.5)  # a worker waits 4 s for an answer, and 1 s more before it goes on
-UNHEARD = 3  # answers in a row that it shows not to have heard: then it is given back
-TOKEN_RETRY_LIMIT = timedelta(seconds=10)  # so long a worker is answered that doesn't show the token it was told of
+# Shortest time in which a worker switches controllers: it waits 4 s for an answer, and 1 s more before it goes on.
+MIN_CONTROLLER_SWITCH_TIME = timedelta(seconds=4.5)
+MAX_LOST_ANSWERS = 3  # consecutive; the machine is then returned to the cloud
+# How long a worker is answered that does not return the token sent to it.
+TOKEN_RETRY_LIMIT = timedelta(seconds=10)
 
 
 class DeliveryState(Enum):
     CONFIRMED = "confirmed"
-    SUSPECT = "suspect"  # it did not hear the last answer: no new work until it hears one
+    SUSPECT = "suspect"  # the last answer was lost: no new work until an answer is received
     FAILED = "failed"
 
 
 @dataclass(slots=True)
 class AnswerDelivery:
-    """One machine's, judged at each report by what has become of the answer to the one before."""
+    """Delivery state of one machine; each of its reports shows what became of the answer to the previous report."""
 
     machine: str
     state: DeliveryState = DeliveryState.CONFIRMED
-    lost_answers: int = 0  # answers in a row
+    lost_answers: int = 0  # consecutive
 
     @property
     def is_confirmed(self) -> bool:
         return self.state is DeliveryState.CONFIRMED
 
     def answer_received(self) -> None:
-        """It shows that an answer has reached it."""
+        """Records that a report shows that an answer has reached the machine."""
         self.lost_answers = 0
         self._move(DeliveryState.CONFIRMED)
 
     def answer_lost(self) -> None:
-        """It shows that the last answer has not."""
+        """Records that a report shows that the last answer has not reached the machine."""
         self.lost_answers += 1
-        self._move(DeliveryState.FAILED if self.lost_answers >= UNHEARD else DeliveryState.SUSPECT)
+        self._move(DeliveryState.FAILED if self.lost_answers >= MAX_LOST_ANSWERS else DeliveryState.SUSPECT)
 
     def _move(self, state: DeliveryState) -> None:
         """The only place where the state changes."""
         if state is self.state:
             return
         log.info(
-            "machine %s: %s -> %s, %d answers unheard", self.machine, self.state.value, state.value, self.lost_answers
-        )
+            "machine %s: answer delivery %s -> %s, %d consecutive answers lost",
+            self.machine, self.state.value, state.value, self.lost_answers,
+        )  # fmt: skip
         self.state = state
 
 
-def tried_other_controllers(span: timedelta, ticks: int, nodes: int, report: timedelta) -> bool:
-    """Whether a worker that reports again after ``span`` has been to the other controllers meanwhile.
+def tried_other_controllers(elapsed: timedelta, seq_increase: int, node_count: int, report_interval: timedelta) -> bool:
+    """Returns whether a worker has tried the other controllers between two reports received here.
 
-    ``ticks``: by how much its number has grown; one that goes round sends a report to each of
-    ``nodes`` controllers. ``report``: the usual time between two reports. Both have to speak for it:
-    a controller that stood still sees late reports, and commands sent directly use up ticks too.
+    ``elapsed`` is the time between the two reports, ``report_interval`` the usual one, and ``seq_increase`` the
+    growth of the report's sequence number: a worker that goes round sends a report to each of ``node_count``
+    controllers. Both signs are required: after a pause of its process a controller receives reports late,
+    and commands sent directly use up sequence numbers too.
     """
-    return span > max(GIVEN_UP, report * 1.25 + timedelta(seconds=1)) and ticks >= nodes
+    return (
+        elapsed > max(MIN_CONTROLLER_SWITCH_TIME, report_interval * 1.25 + timedelta(seconds=1))
+        and seq_increase >= node_count
+    )
