--- a/gingerspar/coordination/cluster/machine.py
+++ b/gingerspar/coordination/cluster/machine.py
@@ -1,4 +1,4 @@
-"""The dispatcher's ledger: every machine and every task that is or may be on it."""
+"""The machines of a term, and the tasks that are or may be on each of them."""
 
 import math
 from collections.abc import Callable
@@ -9,22 +9,22 @@
 from gingerspar.coordination.cluster.delivery import AnswerDelivery
 from gingerspar.protocol.messages import Cause, JobSpec, MachineType, Priority, TaskStatus
 
-TaskId = tuple[str, int]  # job and number
+TaskId = tuple[str, int]  # job and task number
 
 
 class MachineState(Enum):
-    __hash__ = object.__hash__  # Enum's own hashes the name anew each time, some ten thousand times a second
+    __hash__ = object.__hash__  # Enum.__hash__ hashes the name on each call, here about ten thousand times a second
 
     BOOTING = "booting"  # rented, no report yet
-    UNSETTLED = "unsettled"  # may run what an older leader started
-    READY = "ready"  # its reports tell all that is on it
-    LEAVING = "leaving"  # takes no new task: spot notice, sick, or to be returned
-    LOST = "lost"  # its lease has run out: nothing runs on it any more
-    RETURNING = "returning"  # the cloud is asked to take it back
+    UNSETTLED = "unsettled"  # may run tasks that an older leader started
+    READY = "ready"  # its reports list all tasks that are on it
+    LEAVING = "leaving"  # gets no new tasks: spot notice, unhealthy, or to be returned to the cloud
+    LOST = "lost"  # its lease has expired: nothing runs on it any more
+    RETURNING = "returning"  # its return has been requested from the cloud
     GONE = "gone"
 
 
-_MACHINE_MOVES = {
+_MACHINE_TRANSITIONS = {
     MachineState.BOOTING: {MachineState.UNSETTLED, MachineState.READY, MachineState.LOST, MachineState.RETURNING},
     MachineState.UNSETTLED: {MachineState.READY, MachineState.LOST, MachineState.RETURNING},
     MachineState.READY: {MachineState.LEAVING, MachineState.LOST, MachineState.RETURNING},
@@ -36,19 +36,19 @@
 
 
 class TaskState(Enum):
-    __hash__ = object.__hash__  # as above
+    __hash__ = object.__hash__  # faster than Enum.__hash__, see MachineState
 
-    PLANNED = "planned"  # has its place, `run` not sent yet
+    PLANNED = "planned"  # assigned to a machine, `run` not sent yet
     SENT = "sent"  # `run` sent; not reported yet
     FETCHING = "fetching"
     WAITING = "waiting"
     RUNNING = "running"
     SAVING = "saving"
     EXITED = "exited"
-    GONE = "gone"  # not on its machine, and nothing under way can bring it there
+    GONE = "gone"  # not on its machine, and no message in transit can start it there
 
 
-_FETCHING = {TaskState.PLANNED, TaskState.SENT, TaskState.FETCHING}
+_IMAGE_PENDING = {TaskState.PLANNED, TaskState.SENT, TaskState.FETCHING}
 NOTHING = timedelta(0)
 
 TASK_STATE_BY_STATUS = {
@@ -69,15 +69,15 @@
     attempt: int
     machine: "Machine"
     state: TaskState
-    since: timedelta
+    since: timedelta  # time of the last state change
     answered: tuple[int, int] = (0, 0)  # session and seq of the report whose answer carried `run`
-    stop_grace: timedelta | None = None  # grace of the stop that is wanted
-    stop_sent: bool = False
-    direct_stop_grace: timedelta | None = None  # grace of the stop that was sent outside of reports
+    stop_grace: timedelta | None = None  # grace period of the requested stop
+    stop_sent: bool = False  # in an answer to a report
+    direct_stop_grace: timedelta | None = None  # grace period of the stop that was sent directly, not in an answer
     cause: Cause | None = None
     running_since: timedelta | None = None
-    protected: bool = False  # has its place by its class's share: more urgent work does not stop it
-    name: str = field(init=False)  # as reports and commands have it
+    protected: bool = False  # placed by its class's share or as an overdue start: not preempted for more urgent work
+    name: str = field(init=False)  # as in reports and commands
 
     def __post_init__(self) -> None:
         self.name = f"{self.spec.job}/{self.number}"
@@ -92,20 +92,23 @@
 
     @property
     def rank(self) -> int:
-        """Less urgent work is stopped for work of a lower rank."""
+        """Priority rank for preemption: a task may be preempted for work of a lower rank."""
         return 0 if self.protected else self.spec.priority.rank
 
     @property
     def live(self) -> bool:
-        """It is, or may be, on the machine."""
+        """Whether the task is, or may be, on the machine."""
         return self.state is not TaskState.EXITED and self.state is not TaskState.GONE
 
     def move(self, state: TaskState, now: timedelta) -> None:
-        """The only place where a task's state changes; keeps the machine's and team's use."""
+        """Changes the state, here only; the machine's resource usage follows.
+
+        Raises RuntimeError if the task has already left its machine.
+        """
         if self.state is state:
             return
         if self.state in (TaskState.EXITED, TaskState.GONE):
-            raise RuntimeError(f"{self.name}: {self.state} to {state}")
+            raise RuntimeError(f"{self.name}: invalid state change from {self.state} to {state}")
         if state is TaskState.RUNNING and self.running_since is None:
             self.running_since = now
         self.state = state
@@ -116,17 +119,17 @@
             self.machine.cached_forecast = None
 
 
-SERVICE_SPAN = timedelta(minutes=5)  # what a task that never ends counts as
+SERVICE_RUN_TIME = timedelta(minutes=5)  # assumed for tasks without an estimate, such as services, which never end
 
 
 def run_time(spec: JobSpec) -> timedelta:
-    """How long a task of the job probably runs."""
-    return spec.estimate if spec.estimate_s > 0 else SERVICE_SPAN
+    """Returns the estimated run time of a task of the job."""
+    return spec.estimate if spec.estimate_s > 0 else SERVICE_RUN_TIME
 
 
 @dataclass(slots=True)
 class Usage:
-    """Amounts in use."""
+    """Amounts of resources in use."""
 
     cpus: float = 0.0
     gpus: float = 0.0
@@ -138,84 +141,86 @@
         self.memory_gb += count * spec.memory_gb
 
 
-RANKS = len(Priority)
+PRIORITY_COUNT = len(Priority)
 
 
-def _empty_shares() -> list[Usage]:
-    return [Usage() for _ in range(RANKS)]
+def _empty_usage_by_priority() -> list[Usage]:
+    return [Usage() for _ in range(PRIORITY_COUNT)]
 
 
 def fits(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
-    """How many tasks of this kind the given amounts take."""
+    """Returns how many tasks of the job fit into the given amounts of free resources."""
     count = 1_000_000
     if spec.cpus > 0:
         count = int(cpus / spec.cpus + 1e-9)
         if count <= 0:
-            return 0  # mostly it is the first that is short, and this is asked very often
+            return 0  # returns early: called very often, and processors are usually the first to run out
     if spec.gpus > 0:
-        cards = int(gpus / spec.gpus + 1e-9)
-        if cards < count:
-            count = cards
+        by_gpus = int(gpus / spec.gpus + 1e-9)
+        if by_gpus < count:
+            count = by_gpus
     if spec.memory_gb > 0:
-        parts = int(memory_gb / spec.memory_gb + 1e-9)
-        if parts < count:
-            count = parts
+        by_memory = int(memory_gb / spec.memory_gb + 1e-9)
+        if by_memory < count:
+            count = by_memory
     return count if count > 0 else 0
 
 
 def task_capacity(kind: MachineType, spec: JobSpec) -> int:
-    """Tasks of this kind that an empty machine takes."""
+    """Returns how many tasks of the job fit on an empty machine of this type."""
     return fits(spec, kind.cpus, kind.gpus, kind.memory_gb)
 
 
 def cost_per_task(kind: MachineType, spot: bool, spec: JobSpec) -> float:
-    """What a place for one task costs an hour on a machine that is full of them."""
+    """Returns the hourly price per task on a machine filled with such tasks; infinite if none fits."""
     count = task_capacity(kind, spec)
     return kind.cost(spot) / count if count else math.inf
 
 
 def resource_weight(amounts: JobSpec | MachineType) -> float:
-    """What a task takes or a machine has, in processors; an accelerator counts for ten."""
+    """Returns the resources of a task or a machine type in processors; an accelerator counts as ten."""
     return amounts.cpus + 10 * amounts.gpus
 
 
 @dataclass(slots=True)
 class StopCost:
-    """What stopping the tasks of one priority would throw away."""
+    """Work that stopping a machine's tasks of one priority discards, in ``resource_weight`` times seconds."""
 
-    weight: float = 0.0  # of those whose work since their start would be lost
-    since: float = 0.0  # the same, times their start
-    saved: float = 0.0  # of those that save when they are stopped
+    unsaved_weight: float = 0.0  # total weight of the tasks that would lose all work since their start
+    weighted_starts: float = 0.0  # sum over these tasks of weight times start time in seconds
+    save_cost: float = 0.0  # of the tasks that save a checkpoint when stopped: weight times seconds that a save takes
 
     def add(self, placement: Placement) -> None:
+        """Adds the cost of a task; a task that is already being stopped costs nothing."""
         spec = placement.spec
         if placement.stop_grace is not None:
             return
         weight = resource_weight(spec)
         if spec.checkpoint_s:
-            self.saved += weight * spec.save_s
+            self.save_cost += weight * spec.save_s
         else:
-            self.weight += weight
-            self.since += weight * (placement.running_since or placement.since).total_seconds()
+            self.unsaved_weight += weight
+            self.weighted_starts += weight * (placement.running_since or placement.since).total_seconds()
 
     def lost(self, now: timedelta) -> float:
-        return self.saved + self.weight * now.total_seconds() - self.since
+        """Returns the work that would be discarded by stopping these tasks now."""
+        return self.save_cost + self.unsaved_weight * now.total_seconds() - self.weighted_starts
 
 
 @dataclass(slots=True, frozen=True)
 class UsageForecast:
-    """What a machine's present tasks say of its next minutes; kept until one of them changes."""
+    """Expected usage of a machine by its present tasks; cached until one of them changes."""
 
-    last_end: timedelta | None  # of the running ones, by their estimates
-    longest_ahead: timedelta  # of those that don't run yet
-    longest: timedelta
-    fetching: frozenset[str]  # images that are still under way
-    weights: tuple[StopCost, ...]  # of the tasks of each priority
+    last_end: timedelta | None  # when the last of the running tasks should end, by the estimates
+    longest_ahead: timedelta  # longest run time among the tasks that are not running yet
+    longest: timedelta  # longest run time among all tasks
+    fetching: frozenset[str]  # images that still have to be fetched or are being fetched
+    weights: tuple[StopCost, ...]  # by priority rank of the tasks
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """One machine, as far as the dispatcher knows."""
+    """One machine as the dispatcher knows it."""
 
     name: str
     type: str
@@ -225,54 +230,56 @@
     created: timedelta
     kind: MachineType | None = None
     address: str = ""
-    session: int = 0
-    seq: int = 0
-    min_session: int = 0  # reports of earlier sessions are stale: their lease has run out
-    answered: timedelta | None = None  # when the last report that got a 200 came in
-    token_sent_at: timedelta | None = None  # when it was first answered by this leader without showing its token since
-    token_session: int = 0  # the last session in which it has shown this leader's token
+    session: int = 0  # of the last accepted report
+    seq: int = 0  # sequence number of that report in its session
+    min_session: int = 0  # reports of earlier sessions are stale: their lease has expired
+    answered: timedelta | None = None  # arrival of the last report that was answered with status 200
+    # When this leader first sent its token to the worker; None once a report shows the token.
+    token_sent_at: timedelta | None = None
+    token_session: int = 0  # last session in which a report showed this leader's token
     delivery: AnswerDelivery = field(init=False)
     rostered: bool = False
-    notice: timedelta | None = None  # when the cloud takes it away
+    notice: timedelta | None = None  # when the cloud takes it away (spot notice)
     live: dict[tuple[str, int, int], Placement] = field(default_factory=dict)
+    # Exited tasks in the last report, by job, number and attempt.
     exited_placements: dict[tuple[str, int, int], Cause | None] = field(default_factory=dict)
-    ended_placements: dict[tuple[str, int], tuple[str, int, int]] = field(
-        default_factory=dict
-    )  # of these, by the report's
-    # name and attempt, what has been taken in: a finish is listed until its record shows it
-    used: Usage = field(default_factory=Usage)
-    shares: list[Usage] = field(default_factory=lambda: _empty_shares())  # of it by priority
-    images: dict[str, float] = field(default_factory=dict)  # least recently used first
+    # Those of ``exited_placements`` that have been processed, by the task name and attempt in the report:
+    # a worker lists a finished task until the record of the job shows it.
+    ended_placements: dict[tuple[str, int], tuple[str, int, int]] = field(default_factory=dict)
+    used: Usage = field(default_factory=Usage)  # by all live placements
+    shares: list[Usage] = field(default_factory=lambda: _empty_usage_by_priority())  # ``used`` by priority rank
+    images: dict[str, float] = field(default_factory=dict)  # cached images: GB by name, least recently used first
     idle_since: timedelta | None = None
-    errors: dict[str, int] = field(default_factory=dict)  # failed tasks by job since the last success
+    errors: dict[str, int] = field(default_factory=dict)  # failed tasks by job since a task last succeeded here
     suspect_until: timedelta | None = None
     leave_reason: str = ""
-    reserved: Usage = field(default_factory=Usage)  # kept for gangs that wait for more room
+    reserved: Usage = field(default_factory=Usage)  # for jobs that wait for more capacity, mostly gangs
     cached_forecast: UsageForecast | None = None
-    tasks_seen: bytes | None = None  # the task list of the last report, when it was taken in whole
-    on_change: Callable[["Machine", bool], None] = lambda machine, gained: None  # tells the pool
+    tasks_seen: bytes | None = None  # encoded task list of the last report, if it has been processed whole
+    # Notifies the pool of a change; the second argument says whether free capacity may have grown.
+    on_change: Callable[["Machine", bool], None] = lambda machine, gained: None
 
     def __post_init__(self) -> None:
         self.delivery = AnswerDelivery(self.name)
 
     def move(self, state: MachineState) -> None:
-        """The only place where a machine's state changes."""
+        """Changes the state, here only. Raises RuntimeError if the states do not allow this transition."""
         if state is self.state:
             return
-        if state not in _MACHINE_MOVES[self.state]:
-            raise RuntimeError(f"{self.name}: {self.state} to {state}")
+        if state not in _MACHINE_TRANSITIONS[self.state]:
+            raise RuntimeError(f"{self.name}: invalid state change from {self.state} to {state}")
         self.state = state
         self.on_change(self, True)
 
     @property
     def settled(self) -> bool:
-        """Its reports tell all that is on it, and it is given commands."""
+        """Whether its reports list all tasks that are on it, and it is sent commands."""
         return self.state is MachineState.READY or self.state is MachineState.LEAVING
 
-    def record_delivery(self, heard: bool) -> None:
-        """Its report shows whether the answer before has reached it."""
+    def record_delivery(self, received: bool) -> None:
+        """Records whether a report shows that the answer to the previous report has reached the machine."""
         before = self.delivery.is_confirmed
-        if heard:
+        if received:
             self.delivery.answer_received()
         else:
             self.delivery.answer_lost()
@@ -280,13 +287,13 @@
             self.on_change(self, True)
 
     def mark_rostered(self) -> None:
-        """The machine is on the roster now: tasks may be sent to it."""
+        """Records that the machine is on the roster: from now on tasks may be sent to it."""
         self.rostered = True
         self.on_change(self, True)
 
     def set_kind(self, kind: MachineType | None) -> None:
-        known, self.kind = self.kind, kind
-        if known is None or kind is None:
+        previous, self.kind = self.kind, kind
+        if previous is None or kind is None:
             self.on_change(self, True)
 
     def add_placement(self, placement: Placement) -> None:
@@ -303,72 +310,73 @@
             self.shares[placement.rank].add(placement.spec, -1)
             self.cached_forecast = None
             if not self.live:
-                self.used, self.shares = Usage(), _empty_shares()  # no rounding left over
+                self.used, self.shares = Usage(), _empty_usage_by_priority()  # drops accumulated rounding errors
                 self.idle_since = None
             self.on_change(self, True)
 
     def reserve(self, spec: JobSpec, count: int) -> None:
-        """Keeps room for tasks, or with a negative count gives it up."""
+        """Reserves capacity for a number of tasks of the job; a negative count releases it."""
         self.reserved.add(spec, count)
         self.on_change(self, count < 0)
 
     def free(self) -> tuple[float, float, float]:
-        """Processors, accelerators and memory that no task has and no gang has booked."""
+        """Returns the processors, accelerators and GB of memory that are neither used nor reserved."""
         kind = self.kind
         if kind is None:
             return 0.0, 0.0, 0.0
-        used, booked = self.used, self.reserved  # asked some ten thousand times a second: ``unused`` is not called here
+        # Called about ten thousand times a second, so ``unused`` is inlined here.
+        used, reserved = self.used, self.reserved
         return (
-            kind.cpus - used.cpus - booked.cpus,
-            kind.gpus - used.gpus - booked.gpus,
-            kind.memory_gb - used.memory_gb - booked.memory_gb,
+            kind.cpus - used.cpus - reserved.cpus,
+            kind.gpus - used.gpus - reserved.gpus,
+            kind.memory_gb - used.memory_gb - reserved.memory_gb,
         )
 
     def unused(self) -> tuple[float, float, float]:
-        """Processors, accelerators and memory that no task has."""
+        """Returns the processors, accelerators and GB of memory that no task uses, including reserved ones."""
         kind, used = self.kind, self.used
         if kind is None:
             return 0.0, 0.0, 0.0
         return kind.cpus - used.cpus, kind.gpus - used.gpus, kind.memory_gb - used.memory_gb
 
     def tasks_that_fit(self, spec: JobSpec) -> int:
-        """How many more tasks of this kind fit."""
+        """Returns how many more tasks of the job fit into the free capacity."""
         cpus, gpus, memory = self.free()
         return fits(spec, cpus, gpus, memory)
 
     def forecast(self) -> UsageForecast:
-        """The machine's outlook, worked out again only after a change."""
+        """Returns the usage forecast, which is computed again only after a change."""
         if self.cached_forecast is None:
             last_end: timedelta | None = None
             longest_ahead = longest = NOTHING
             fetching: set[str] = set()
-            weights = tuple([StopCost() for _ in range(RANKS)])
-            spans: dict[str, timedelta] = {}  # mostly these are tasks of few jobs
+            stop_costs = tuple([StopCost() for _ in range(PRIORITY_COUNT)])
+            run_times: dict[str, timedelta] = {}  # by job: a machine's tasks usually belong to few jobs
             for placement in self.live.values():
                 spec = placement.spec
-                span = spans.get(spec.job)
-                if span is None:
-                    span = spans[spec.job] = run_time(spec)
-                    longest = max(longest, span)
-                weights[placement.rank].add(placement)
+                expected_run_time = run_times.get(spec.job)
+                if expected_run_time is None:
+                    expected_run_time = run_times[spec.job] = run_time(spec)
+                    longest = max(longest, expected_run_time)
+                stop_costs[placement.rank].add(placement)
                 since = placement.running_since
                 if since is None:
-                    longest_ahead = max(longest_ahead, span)
-                elif last_end is None or since + span > last_end:
-                    last_end = since + span
-                if placement.state in _FETCHING and spec.image not in self.images:
+                    longest_ahead = max(longest_ahead, expected_run_time)
+                elif last_end is None or since + expected_run_time > last_end:
+                    last_end = since + expected_run_time
+                if placement.state in _IMAGE_PENDING and spec.image not in self.images:
                     fetching.add(spec.image)
-            self.cached_forecast = UsageForecast(last_end, longest_ahead, longest, frozenset(fetching), weights)
+            self.cached_forecast = UsageForecast(last_end, longest_ahead, longest, frozenset(fetching), stop_costs)
         return self.cached_forecast
 
     def remember_image(self, image: str, size_gb: float) -> None:
-        """The machine has used this image; it caches the most recently used ones."""
+        """Records that the machine has used an image; it caches the most recently used images."""
         if self.images.pop(image, None) is None:
             self.cached_forecast = None
         self.images[image] = size_gb
-        room = self.kind.cache_gb if self.kind is not None else 0.0
-        total = sum(self.images.values())
+        capacity_gb = self.kind.cache_gb if self.kind is not None else 0.0
+        total_gb = sum(self.images.values())
         for name in list(self.images):
-            if total <= room or name == image:
+            if total_gb <= capacity_gb or name == image:
                 break
-            total -= self.images.pop(name)
+            total_gb -= self.images.pop(name)
