--- a/gingerspar/coordination/cluster/cluster_state.py
+++ b/gingerspar/coordination/cluster/cluster_state.py
@@ -1,7 +1,7 @@
-"""The leader's books: machines, runs and what each team uses, kept in step.
+"""The leader's state of the cluster: machines, job runs and the resources that each team uses.
 
-Everything that changes what is where goes through here, so that the sums and the
-indexes that placing relies on follow each change at once.
+Every change of placements goes through this module, so that the totals and indexes
+that placement relies on are updated with each change.
 """
 
 import logging
@@ -38,55 +38,59 @@
 log = logging.getLogger(__name__)
 
 NO_GRACE_PERIOD = timedelta(0)
-URGENT_WAIT = timedelta(seconds=5)
-ROUTINE_WAIT = timedelta(seconds=20)  # of work that nobody asks anything of
-OVERRUN = 1.3  # estimates are often wrong by half
-SPENT_ON_WAITING = 0.5  # of the time to spare: a job is done with its slowest task
-START_UP = timedelta(seconds=5)  # claim, reports and what else comes before a task runs
-EXPENSIVE_PRICE_RATIO = 1.5
-LEAST_START = timedelta(seconds=2)  # from a place to a running task, at the least
-MUCH_LATER = 1e7  # seconds, more than any deadline is ahead
-UNDUE = 1e12  # seconds, later than all deadlines
-NOTHING_USED = Usage()
-ROUNDING = 1e-6  # of sums that are added to and taken from
-MOST_KINDS = 2000  # of task, whose prices are remembered
-_COUNTED = (TaskState.RUNNING, TaskState.SAVING)  # shown to users as running
+# How long an urgent job waits for less urgent work to make capacity free, before it uses expensive machines.
+URGENT_CHEAP_WAIT_LIMIT = timedelta(seconds=5)
+# The same for a less urgent job that has neither a deadline nor an objective for its completion.
+ROUTINE_CHEAP_WAIT_LIMIT = timedelta(seconds=20)
+RUN_TIME_MARGIN = 1.3  # factor on estimated run times: estimates are often wrong by half
+SLACK_SHARE_FOR_WAITING = 0.5  # not all of it: a job is done only when its slowest task is
+START_OVERHEAD = timedelta(seconds=5)  # claim, reports and the other steps before a task runs, without its image
+EXPENSIVE_PRICE_RATIO = 1.5  # to the lowest price per task of an ordinary machine type; above it one is expensive
+MIN_START_DELAY = timedelta(seconds=2)  # from the placement of a task until it runs
+LATE_ORDER_OFFSET_S = 1e7  # seconds, more than any deadline lies ahead: late jobs come after all that may be in time
+NO_DEADLINE_OFFSET_S = 1e12  # seconds, later than all deadlines
+NO_USAGE = Usage()
+ROUNDING = 1e-6  # tolerance for totals that are updated by additions and subtractions
+MAX_CACHED_TASK_KINDS = 2000  # kinds of task whose prices and machine options are cached
+_RUNNING_STATES = (TaskState.RUNNING, TaskState.SAVING)  # shown to users as running
 
 
 @dataclass(slots=True, frozen=True)
 class MachineOption:
-    """A sort of machine that a job may use."""
+    """An offer (machine type, zone and purchase kind) that a job may use."""
 
     offer: Offer
     kind: MachineType
-    tasks_per_machine: int  # tasks of the job that an empty one takes, at least one
-    cost: float  # of one place an hour, when it is full of them
-    expensive: bool  # its places cost far more than those of another ordinary type
+    tasks_per_machine: int  # tasks of the job that fit on an empty machine, at least one
+    cost: float  # per task and hour, on a machine filled with tasks of the job
+    expensive: bool  # costs far more per task than another ordinary machine type
 
 
 class ClusterState:
-    """One term's machines, runs and use."""
+    """The machines, job runs and resource usage of one term."""
 
     def __init__(self, term: int, teams: Iterable[TeamFacts], objectives: Iterable[Objective] = ()) -> None:
         self.term = term
         objectives = list(objectives)
         self._job_order = JobOrder(objectives)
-        self._finish_within: dict[str, tuple[timedelta, timedelta]] = {}  # by class: first and last aim
-        self._late_at: dict[str, float] = {}  # by class: times its deadline
-        self._start_within: dict[str, list[timedelta]] = {}  # by class
-        self._done_within: dict[str, list[timedelta]] = {}  # by class
+        # By class: shortest and longest completion objective.
+        self._finish_target_range: dict[str, tuple[timedelta, timedelta]] = {}
+        # By class: multiple of its deadline within which a late job still counts.
+        self._deadline_factor: dict[str, float] = {}
+        self._start_targets: dict[str, list[timedelta]] = {}  # by class, from submission to start
+        self._finish_targets: dict[str, list[timedelta]] = {}  # by class, from submission to completion
         for objective in objectives:
             if objective.kind == "finished" and objective.jobclass and objective.within_s:
-                within = timedelta(seconds=objective.within_s)
-                self._done_within.setdefault(objective.jobclass, []).append(within)
-                first, last = self._finish_within.get(objective.jobclass, (within, within))
-                self._finish_within[objective.jobclass] = (min(first, within), max(last, within))
+                target = timedelta(seconds=objective.within_s)
+                self._finish_targets.setdefault(objective.jobclass, []).append(target)
+                shortest, longest = self._finish_target_range.get(objective.jobclass, (target, target))
+                self._finish_target_range[objective.jobclass] = (min(shortest, target), max(longest, target))
             elif objective.kind == "wait" and objective.jobclass and objective.within_s:
-                within = timedelta(seconds=objective.within_s)
-                self._start_within.setdefault(objective.jobclass, []).append(within)
+                target = timedelta(seconds=objective.within_s)
+                self._start_targets.setdefault(objective.jobclass, []).append(target)
             elif objective.kind == "deadline" and objective.jobclass and objective.times:
-                times = max(objective.times, self._late_at.get(objective.jobclass, 1.0))
-                self._late_at[objective.jobclass] = times
+                factor = max(objective.times, self._deadline_factor.get(objective.jobclass, 1.0))
+                self._deadline_factor[objective.jobclass] = factor
         self.teams = {team.name: team for team in teams}
         self.estimates = Estimates()
         self.types: dict[str, MachineType] = {}
@@ -97,14 +101,15 @@
         self.largest_jobs = LargestJobs()
         self._first_overdue_gang: JobRun | None = None
         self.usage: dict[str, Usage] = {team: Usage() for team in self.teams}
-        self.unrecorded: dict[str, JobRun] = {}  # runs with finishes that the record doesn't show yet
+        self.unrecorded: dict[str, JobRun] = {}  # by job: runs with finished tasks that its record does not show yet
         self.expected_releases = ExpectedReleases()
-        self.jobs_with_reservations: dict[str, set[str]] = {}  # by machine: jobs that keep room there
-        self.accelerator_specs: dict[str, JobSpec] = {}  # by class: what uses accelerators here
+        self.jobs_with_reservations: dict[str, set[str]] = {}  # by machine: jobs that have reserved capacity there
+        self.accelerator_specs: dict[str, JobSpec] = {}  # by class: latest job that uses accelerators
         self.notify_machine: Callable[[Machine], None] = lambda machine: None
-        self._cheapest: dict[tuple[object, ...], float] = {}  # ordinary place, by kind of task
+        # By kind of task: price per hour on an ordinary (not spot) machine.
+        self._lowest_task_cost: dict[tuple[object, ...], float] = {}
         self._machine_options: dict[tuple[object, ...], list[MachineOption]] = {}
-        self._slowest_fetch = 1.0  # of all types, GB a second
+        self._slowest_fetch_gb_per_s = 1.0  # over all machine types
 
     # -- machines -------------------------------------------------------------
 
@@ -126,37 +131,41 @@
 
     def set_types(self, types: Iterable[MachineType]) -> None:
         self.types = {kind.name: kind for kind in types}
-        self._cheapest = {}
+        self._lowest_task_cost = {}
         self._machine_options = {}
-        self._slowest_fetch = max(min((kind.fetch_gb_per_s for kind in self.types.values()), default=1.0), 1e-3)
+        self._slowest_fetch_gb_per_s = max(
+            min((kind.fetch_gb_per_s for kind in self.types.values()), default=1.0), 1e-3
+        )
         for machine in self.pool:
             machine.set_kind(self.types.get(machine.type))
 
     def remove_machine(self, machine: Machine, now: timedelta) -> None:
-        """The machine and all on it are gone for certain."""
+        """Removes a machine; it is certain that it is gone, and all tasks on it."""
         self.clear_machine(machine, now)
         machine.move(MachineState.GONE)
         self.pool.remove(machine)
 
     def clear_machine(self, machine: Machine, now: timedelta) -> None:
+        """Records that all tasks on the machine are gone."""
         for placement in list(machine.live.values()):
             self.task_gone(placement, now)
 
     # -- tasks ----------------------------------------------------------------
 
     def move_task(self, placement: Placement, state: TaskState, now: timedelta) -> None:
-        """A task's state changes; the job's count of running tasks follows."""
-        before = placement.state in _COUNTED
-        ran = placement.running_since is not None
+        """Changes a task's state and the job's count of running tasks."""
+        was_running = placement.state in _RUNNING_STATES
+        had_started = placement.running_since is not None
         placement.move(state, now)
-        if not ran and placement.running_since is not None:
+        if not had_started and placement.running_since is not None:
             self.expected_releases.task_started(placement)
         run = self.runs.get(placement.job)
         if run is not None:
-            run.running += (placement.state in _COUNTED) - before
+            run.running += (placement.state in _RUNNING_STATES) - was_running
             run.has_started = run.has_started or placement.running_since is not None
 
     def plan_task(self, run: JobRun, number: int, machine: Machine, now: timedelta, *, protected: bool = False) -> None:
+        """Places a task on a machine; its `run` command is yet to be sent."""
         placement = Placement(
             run.spec, number, run.record.attempt, machine, TaskState.PLANNED, now, protected=protected
         )
@@ -165,19 +174,19 @@
         self.notify_machine(machine)
 
     def add_placement(self, run: JobRun, placement: Placement) -> None:
-        """A task takes its place; whoever adds the last one refiles the run."""
+        """Adds a placement; the caller updates the run in the backlog after the last one."""
         placement.machine.add_placement(placement)
         run.places.setdefault(placement.number, []).append(placement)
         run.open.discard(placement.number)
-        run.running += placement.state in _COUNTED
+        run.running += placement.state in _RUNNING_STATES
         run.has_started = run.has_started or placement.running_since is not None
         if placement.running_since is not None:
             self.expected_releases.task_started(placement)
         self.usage.setdefault(placement.spec.team, Usage()).add(placement.spec)
         self.service_levels.task_placed(placement)
 
-    def _leave(self, placement: Placement) -> JobRun:
-        """Takes an ended placement off the books."""
+    def _remove_placement(self, placement: Placement) -> JobRun:
+        """Removes a placement that has ended, and opens its task again if that is not finished."""
         if placement.running_since is not None:
             self.expected_releases.task_left(placement)
         run = self.runs[placement.job]
@@ -194,19 +203,20 @@
         return run
 
     def task_exited(self, placement: Placement, now: timedelta) -> JobRun:
+        """Records that a task has exited; the caller updates the run in the backlog."""
         self.move_task(placement, TaskState.EXITED, now)
-        return self._leave(placement)
+        return self._remove_placement(placement)
 
     def task_gone(self, placement: Placement, now: timedelta) -> None:
-        """The task is on its machine no more, without having ended there."""
+        """Records that a task is no longer on its machine, without having exited there."""
         if not placement.live:
-            return  # its gang was taken apart while its machine's tasks were gone through
+            return  # removed with its gang while the caller iterated over the machine's tasks
         log.debug("%s attempt %d on %s is gone", placement.name, placement.attempt, placement.machine.name)
         self.move_task(placement, TaskState.GONE, now)
-        self.gang_task_lost(self._leave(placement), now)
+        self.gang_task_lost(self._remove_placement(placement), now)
 
     def gang_task_lost(self, run: JobRun, now: timedelta) -> None:
-        """After a task of a run has gone: a gang that lost one is stopped whole."""
+        """Handles the loss of a task: a gang that has lost a task is stopped whole."""
         if run.is_gang and not run.ended:
             if run.places:
                 run.set_gang_state(GangState.STOPPING)
@@ -218,7 +228,7 @@
         self.backlog.update(run, now)
 
     def stop_task(self, placement: Placement, grace: timedelta, now: timedelta) -> None:
-        """Wants a task ended; a planned one never reached its machine."""
+        """Requests the stop of a task; a planned task has not been sent to its machine and is gone at once."""
         if placement.state is TaskState.PLANNED:
             self.task_gone(placement, now)
             return
@@ -229,14 +239,14 @@
             self.notify_machine(placement.machine)
 
     def stop_run(self, run: JobRun, grace: timedelta, now: timedelta) -> None:
-        """Stops all tasks of a job in an orderly way; a gang's must be told together."""
+        """Stops all tasks of a job with a grace period; those of a gang have to be notified together."""
         if run.is_gang:
             run.set_gang_state(GangState.STOPPING)
         for placement in run.live:
             self.stop_task(placement, grace, now)
 
     def end_run(self, run: JobRun, now: timedelta) -> None:
-        """The record says done or cancelled."""
+        """Ends a run whose record says done or cancelled."""
         run.ended = True
         run.open.clear()
         run.unrecorded.clear()
@@ -249,60 +259,67 @@
             self.runs.pop(run.spec.job, None)
 
     def task_done(self, run: JobRun, number: int) -> bool:
-        """A task has completed; true if that is news."""
+        """Records that a task has completed; returns whether that was not known before."""
         run.has_started = True  # an older leader may have started it
         # The tasks of a gang complete together: if one is done, all are.
         numbers = range(run.spec.tasks) if run.is_gang else (number,)
-        news = False
-        for each in numbers:
-            if not run.ended and run.finished.add(each):
-                news = True
-                run.unrecorded.add(each)
-                run.open.discard(each)
-        if news:
+        is_new = False
+        for task_number in numbers:
+            if not run.ended and run.finished.add(task_number):
+                is_new = True
+                run.unrecorded.add(task_number)
+                run.open.discard(task_number)
+        if is_new:
             run.notified_at = None
             self.unrecorded[run.spec.job] = run
-        return news
+        return is_new
 
-    # -- time to spare --------------------------------------------------------
+    # -- slack and order ------------------------------------------------------
 
-    def can_wait(self, run: JobRun, now: timedelta, boot: timedelta = NOTHING) -> bool:
-        """Whether dearer places, to be had after ``boot``, would do nothing for the job.
+    def can_wait(self, run: JobRun, now: timedelta, boot_time: timedelta = NOTHING) -> bool:
+        """Returns whether expensive machines, available after ``boot_time``, would not help the job.
 
-        It will probably be in time even if it starts somewhat later, or it is too late in
-        any case; by its own deadline, or by what the operators ask of its class. Work
-        without either waits a little; urgent work only until what is less urgent could
-        have made room.
+        True if the job will probably be in time even when it starts somewhat later, or will be too
+        late in any case, by its own deadline or by the completion objective of its class. A job with
+        neither waits for ``ROUTINE_CHEAP_WAIT_LIMIT``. An urgent job (priority HIGH or above) waits only for
+        ``URGENT_CHEAP_WAIT_LIMIT``, in which less urgent work could have made capacity free.
         """
         spec = run.spec
         waited = now - run.waiting_since if run.waiting_since is not None else NOTHING
         if spec.priority.rank <= Priority.HIGH.rank:
-            return waited < URGENT_WAIT
-        within, latest = self._asked(spec)
-        if within is None or latest is None:
-            return waited < ROUTINE_WAIT
-        starts = now + boot + timedelta(seconds=spec.image_gb / self._slowest_fetch) + START_UP
-        span = self.estimates.run_time(spec)
-        if starts + span > run.submitted + latest:
+            return waited < URGENT_CHEAP_WAIT_LIMIT
+        target, latest = self._finish_targets_of(spec)
+        if target is None or latest is None:
+            return waited < ROUTINE_CHEAP_WAIT_LIMIT
+        starts_at = now + boot_time + timedelta(seconds=spec.image_gb / self._slowest_fetch_gb_per_s) + START_OVERHEAD
+        run_time = self.estimates.run_time(spec)
+        if starts_at + run_time > run.submitted + latest:
             return True
-        return starts + span * OVERRUN < run.submitted + within
+        return starts_at + run_time * RUN_TIME_MARGIN < run.submitted + target
 
     def slack(self, run: JobRun, now: timedelta) -> timedelta:
-        """How much later than now the tasks of a job may well start; nothing if nobody says when it should be done."""
-        within, _ = self._asked(run.spec)
-        if within is None or run.spec.priority.rank <= Priority.HIGH.rank:
+        """Returns how long the tasks of a job may wait before they start.
+
+        Zero if the job is urgent (priority HIGH or above), or has neither a deadline nor a completion objective.
+        """
+        target, _ = self._finish_targets_of(run.spec)
+        if target is None or run.spec.priority.rank <= Priority.HIGH.rank:
             return NOTHING
-        left = run.submitted + within - now - START_UP - self.estimates.run_time(run.spec) * OVERRUN
-        return max(left * SPENT_ON_WAITING, NOTHING)
+        remaining = run.submitted + target - now - START_OVERHEAD - self.estimates.run_time(run.spec) * RUN_TIME_MARGIN
+        return max(remaining * SLACK_SHARE_FOR_WAITING, NOTHING)
 
     def update_service_levels(self, now: timedelta) -> None:
         self.service_levels.update(self.runs.values(), self.pool, self.backlog, now)
 
     def order_key(self, run: JobRun, now: timedelta) -> Order:
-        """As ``_order``, but first of all where it is late to begin, or its class lags and its share is not used up."""
+        """Returns the key by which the backlog sorts the job.
+
+        It sorts before all priorities if its start is overdue, or if its class lags behind its service level
+        and has not used up its share; otherwise as ``_base_order_key`` says.
+        """
         if self.is_start_overdue(run, now):
             return (TOP_RANK, 0.0, run.record.submitted, run.spec.job)
-        order = self._order(run, now)
+        order = self._base_order_key(run, now)
         return (
             (TOP_RANK, *order[1:])
             if self.service_levels.has_priority(run) and self.service_levels.remaining_tasks(run)
@@ -310,7 +327,7 @@
         )
 
     def is_start_overdue(self, run: JobRun, now: timedelta) -> bool:
-        """Whether the job has to begin now, with one task, or if it is a gang with all."""
+        """Returns whether the job has to start now: a gang with all tasks, any other job with one task."""
         if run.has_started or run.places or run.ended or now - run.submitted < START_PRIORITY_AFTER or run.failures:
             return False
         return (
@@ -320,11 +337,11 @@
         )
 
     def log_if_not_started(self, run: JobRun, now: timedelta) -> None:
-        """Once for each job that the four minutes have passed for."""
+        """Logs an error, once for each job, if the job has not started within ``START_TARGET``."""
         if run.has_started or run.logged_not_started or run.failures or now - run.submitted < START_TARGET:
             return
         if run.waiting_since is None or now - run.waiting_since < RUNNING_TASKS_KNOWN_AFTER:
-            return  # in a new term it may run on a machine that has not reported yet
+            return  # in a new term the job may run on a machine that has not reported yet
         run.logged_not_started = True
         size = "among the largest" if self.largest_jobs.contains(run.spec) else "not among the largest"
         log.error(
@@ -333,108 +350,120 @@
         )  # fmt: skip
 
     def first_overdue_gang(self, now: timedelta) -> JobRun | None:
-        """The gang that has been late to begin for longest: one at a time keeps its room until it starts."""
+        """Returns the gang whose start has been overdue for longest, None if there is none.
+
+        Only this gang keeps its reservation until it starts, one gang at a time.
+        """
         gang = self._first_overdue_gang
         return gang if gang is not None and gang.is_waiting and self.is_start_overdue(gang, now) else None
 
     def update_first_overdue_gang(self, now: timedelta) -> None:
-        """To be called now and then: going through all that is late for each question cost a twentieth of a pass."""
+        """Finds the gang whose start has been overdue for longest; to be called periodically.
+
+        A scan of all overdue jobs on each query took a twentieth of a placement pass.
+        """
         self._first_overdue_gang = None
         run: JobRun
-        for order, run in self.backlog.waiting.items():
-            if order[0] != TOP_RANK:
+        for order_key, run in self.backlog.waiting.items():
+            if order_key[0] != TOP_RANK:
                 return
             if run.is_gang and self.is_start_overdue(run, now):
                 self._first_overdue_gang = run
                 return
 
-    def _order(self, run: JobRun, now: timedelta) -> Order:
-        """Priority, then earliest due.
+    def _base_order_key(self, run: JobRun, now: timedelta) -> Order:
+        """Returns the order by priority, then by the earliest due time.
 
-        Work that can't be in time any more comes after what can. A job without a deadline
-        comes after those with one, and is due when the operators next ask its class to have
-        started, or when it has to start so as to be done when they ask for it: when the
-        first such time has passed, it is due at the next one.
+        A job that will miss its deadline comes after those that may be in time, and a job that will
+        finish too late to count comes after both. A job without a deadline comes after those with one.
+        It is due when the next start objective of its class has to be met, or when it has to start to meet
+        a completion objective of its class. When the first of these times has passed, it is due at the next one.
         """
         rank, due, submitted, job = run.record.order
         if run.spec.due_s is not None:
             run.lateness = max(run.lateness, self.lateness(run, now))
-            return (rank, due + run.lateness * MUCH_LATER, submitted, job)
-        starts = self._start_within.get(run.spec.jobclass, [])
-        ends = self._done_within.get(run.spec.jobclass, [])
-        if ends:
-            span = self.estimates.run_time(run.spec)
-            starts = starts + [within - span for within in ends]
-        waited = now - run.submitted + LEAST_START
-        within = min((within for within in starts if within > waited), default=None)
-        if within is None:
+            return (rank, due + run.lateness * LATE_ORDER_OFFSET_S, submitted, job)
+        start_targets = self._start_targets.get(run.spec.jobclass, [])
+        finish_targets = self._finish_targets.get(run.spec.jobclass, [])
+        if finish_targets:
+            run_time = self.estimates.run_time(run.spec)
+            start_targets = start_targets + [target - run_time for target in finish_targets]
+        waited = now - run.submitted + MIN_START_DELAY
+        next_target = min((target for target in start_targets if target > waited), default=None)
+        if next_target is None:
             return self._job_order.key(run.record, run.spec.tasks - len(run.finished))
-        return (rank, UNDUE + submitted + within.total_seconds(), submitted, job)
+        return (rank, NO_DEADLINE_OFFSET_S + submitted + next_target.total_seconds(), submitted, job)
 
     def lateness(self, run: JobRun, now: timedelta) -> int:
-        """0: a job with a deadline may be in time; 1: it will be late; 2: later than still counts."""
+        """Returns 0 for a job that may meet its deadline or has none, 1 if it will be late, 2 if too late to count."""
         if run.spec.due_s is None:
             return 0
-        within, latest = self._asked(run.spec)
-        done = now + START_UP + self.estimates.run_time(run.spec) - run.submitted
-        if within is None or latest is None or done <= within:
+        target, latest = self._finish_targets_of(run.spec)
+        finished_at = now + START_OVERHEAD + self.estimates.run_time(run.spec) - run.submitted
+        if target is None or latest is None or finished_at <= target:
             return 0
-        return 1 if done <= latest else 2
+        return 1 if finished_at <= latest else 2
 
-    def _asked(self, spec: JobSpec) -> tuple[timedelta | None, timedelta | None]:
-        """When a job should be done, and when at the very latest."""
+    def _finish_targets_of(self, spec: JobSpec) -> tuple[timedelta | None, timedelta | None]:
+        """Returns the times after submission by which a job should be done, and by which at the very latest."""
         if spec.due_s is not None:
-            within = timedelta(seconds=spec.due_s)
-            return within, within * self._late_at.get(spec.jobclass, 1.0)
-        return self._finish_within.get(spec.jobclass, (None, None))
+            deadline = timedelta(seconds=spec.due_s)
+            return deadline, deadline * self._deadline_factor.get(spec.jobclass, 1.0)
+        return self._finish_target_range.get(spec.jobclass, (None, None))
 
     def is_expensive(self, kind: MachineType, spot: bool, spec: JobSpec) -> bool:
-        """An ordinary machine whose places cost far more than those of another ordinary type."""
+        """Returns whether a machine costs far more per task than another ordinary type; spot machines never do.
+
+        "Far more" is a price ratio above ``EXPENSIVE_PRICE_RATIO``.
+        """
         if spot:
             return False
         key = (spec.cpus, spec.gpus, spec.memory_gb, spec.types)
-        if key not in self._cheapest:
-            if len(self._cheapest) >= MOST_KINDS:
-                self._cheapest.clear()
+        if key not in self._lowest_task_cost:
+            if len(self._lowest_task_cost) >= MAX_CACHED_TASK_KINDS:
+                self._lowest_task_cost.clear()
             costs = [
                 cost_per_task(other, False, spec)
                 for other in self.types.values()
                 if spec.types is None or other.name in spec.types
             ]
-            self._cheapest[key] = min(costs, default=0.0)
-        return cost_per_task(kind, False, spec) > EXPENSIVE_PRICE_RATIO * self._cheapest[key]
+            self._lowest_task_cost[key] = min(costs, default=0.0)
+        return cost_per_task(kind, False, spec) > EXPENSIVE_PRICE_RATIO * self._lowest_task_cost[key]
 
     def machine_options(self, spec: JobSpec) -> list[MachineOption]:
-        """The sorts of machine that take tasks of the job, by the catalog."""
+        """Returns the offers in the catalog that the job may use and whose machines can hold its tasks."""
         key = (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
-        found = self._machine_options.get(key)
-        if found is None:
-            if len(self._machine_options) >= MOST_KINDS:
+        options = self._machine_options.get(key)
+        if options is None:
+            if len(self._machine_options) >= MAX_CACHED_TASK_KINDS:
                 self._machine_options.clear()
-            found = self._machine_options[key] = []
+            options = self._machine_options[key] = []
             for kind in self.types.values():
-                full = task_capacity(kind, spec)
-                for zone in kind.zones if full else ():
+                tasks_per_machine = task_capacity(kind, spec)
+                for zone in kind.zones if tasks_per_machine else ():
                     for spot in (True, False) if spec.spot and kind.spot_price is not None else (False,):
                         if allows(spec, kind.name, zone, spot):
-                            cost, dear = cost_per_task(kind, spot, spec), self.is_expensive(kind, spot, spec)
-                            found.append(MachineOption((kind.name, zone, spot), kind, full, cost, dear))
-        return found
+                            cost, expensive = cost_per_task(kind, spot, spec), self.is_expensive(kind, spot, spec)
+                            options.append(
+                                MachineOption((kind.name, zone, spot), kind, tasks_per_machine, cost, expensive)
+                            )
+        return options
 
-    # -- room -----------------------------------------------------------------
+    # -- reservations and limits ----------------------------------------------
 
-    def reserve(self, run: JobRun, room: dict[Machine, int], now: timedelta) -> None:
-        """Keeps room for a gang until it starts."""
-        for machine, count in room.items():
+    def reserve(self, run: JobRun, task_counts: dict[Machine, int], now: timedelta) -> None:
+        """Reserves capacity for tasks of a job, mostly a gang, until it starts; ``task_counts`` by machine."""
+        for machine, count in task_counts.items():
             machine.reserve(run.spec, count)
             self.jobs_with_reservations.setdefault(machine.name, set()).add(run.spec.job)
-        run.reserved = room
+        run.reserved = task_counts
         if run.reserved_since is None:
             run.reserved_since = now
 
     def release_reservation(self, run: JobRun) -> None:
-        booked, run.reserved = run.reserved, {}
-        for machine, count in booked.items():
+        """Releases all capacity that is reserved for the job."""
+        reserved, run.reserved = run.reserved, {}
+        for machine, count in reserved.items():
             machine.reserve(run.spec, -count)
             jobs = self.jobs_with_reservations[machine.name]
             jobs.discard(run.spec.job)
@@ -442,32 +471,33 @@
                 del self.jobs_with_reservations[machine.name]
 
     def blocked_by_unsettled(self, run: JobRun) -> bool:
-        """True while one of its open tasks may run on a machine that has not reported yet."""
+        """Returns whether an open task of the job may be running on a machine that has not reported yet."""
         if run.record.first_term >= self.term:
             return False
         return any(allows(run.spec, *offer) for offer in self.pool.unsettled.offers)
 
-    def team_headroom(self, spec: JobSpec, promised: Usage = NOTHING_USED) -> int:
-        """Tasks that the team's limit still takes; unsettled machines count as full of them.
+    def team_headroom(self, spec: JobSpec, pending_usage: Usage = NO_USAGE) -> int:
+        """Returns how many more tasks of the job the team's limit allows.
 
-        ``promised``: what others of the team are about to take.
+        Unsettled machines count as fully used by the team. ``pending_usage`` is what other jobs of the
+        team are about to use.
         """
         team = self.teams.get(spec.team)
         if team is None:
             return 0
         used = self.usage[spec.team]
         unsettled = self.pool.unsettled
-        room = 1_000_000
+        headroom = 1_000_000
         if team.cpus_max and spec.cpus:
-            cpus = used.cpus + promised.cpus + unsettled.cpus + unsettled.unknown * team.cpus_max
-            room = int((team.cpus_max - cpus) / spec.cpus + 1e-9)
+            cpus = used.cpus + pending_usage.cpus + unsettled.cpus + unsettled.unknown * team.cpus_max
+            headroom = int((team.cpus_max - cpus) / spec.cpus + 1e-9)
         if team.gpus_max and spec.gpus:
-            gpus = used.gpus + promised.gpus + unsettled.gpus + unsettled.unknown * team.gpus_max
-            room = min(room, int((team.gpus_max - gpus) / spec.gpus + 1e-9))
-        return max(room, 0)
+            gpus = used.gpus + pending_usage.gpus + unsettled.gpus + unsettled.unknown * team.gpus_max
+            headroom = min(headroom, int((team.gpus_max - gpus) / spec.gpus + 1e-9))
+        return max(headroom, 0)
 
     def team_shortfall(self, spec: JobSpec) -> tuple[float, float]:
-        """Processors and accelerators that the limit leaves too little for all tasks of a job at once."""
+        """Returns the processors and accelerators that the team's limit lacks to run all tasks of a job at once."""
         team = self.teams[spec.team]
         used = self.usage[spec.team]
         cpus = used.cpus + spec.tasks * spec.cpus - team.cpus_max if team.cpus_max and spec.cpus else 0.0
