--- a/gingerspar/coordination/__init__.py
+++ b/gingerspar/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Session, term, claims, reconciler, ledger, placement and fleet."""
+"""Coordination between the controllers: membership and leader election, cluster state, placement, jobs and machines."""
--- a/gingerspar/coordination/cluster/__init__.py
+++ b/gingerspar/coordination/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader of the term knows: machines, runs and what each team uses."""
+"""The cluster state that the leader of a term keeps: machines, job runs and the resources that each team uses."""
