--- a/gingerspar/coordination/cluster/job_runs.py
+++ b/gingerspar/coordination/cluster/job_runs.py
@@ -1,4 +1,4 @@
-"""Unfinished jobs as the leader sees them, and the backlog of those that wait."""
+"""The leader's state of each unfinished job (``JobRun``), and the backlog of jobs that wait for machines."""
 
 import math
 from collections.abc import Iterator
@@ -13,14 +13,14 @@
 from gingerspar.protocol.messages import JobSpec, JobStatus, Priority, Shape
 from gingerspar.storage.records import JobRecord, Order, TaskSet
 
-FIRST_BACKOFF = timedelta(seconds=1)
+FIRST_BACKOFF = timedelta(seconds=1)  # initial pause before a job is placed again after a failure
 
 
-ConstraintKey = tuple[object, ...]  # of jobs that may use the same machines
+ConstraintKey = tuple[object, ...]  # equal for jobs that may use the same machines
 
 
 class MinDemand(NamedTuple):
-    """The least of each that a task takes, over several jobs."""
+    """Per resource, the minimum that a task of any of several jobs needs."""
 
     cpus: float
     gpus: float
@@ -28,45 +28,48 @@
 
 
 class GangState(Enum):
-    IDLE = "idle"  # nothing of it on any machine
-    PLACED = "placed"  # all its tasks have places
-    STOPPING = "stopping"  # it lost a task or is stopped: waits until all are gone
+    """State of a gang; it starts and stops as a whole. Jobs of other shapes stay IDLE."""
+
+    IDLE = "idle"  # none of its tasks is on a machine
+    PLACED = "placed"  # all its tasks have placements
+    STOPPING = "stopping"  # a task was lost or the gang is being stopped: waits until all its tasks are gone
 
 
 @dataclass(slots=True, eq=False)
 class JobRun:
-    """An unfinished job, or a finished one with tasks still on machines."""
+    """An unfinished job, or an ended one that still has tasks on machines."""
 
     spec: JobSpec
     record: JobRecord
-    finished: TaskSet  # as the record says, plus what reports say
-    recorded: TaskSet  # as the record says
-    unrecorded: set[int] = field(default_factory=set)  # finished, not yet in the record
-    open: "SortedSet[int]" = field(default_factory=SortedSet)
-    places: dict[int, list[Placement]] = field(default_factory=dict)  # live ones
-    running: int = 0  # live ones that run or save
+    finished: TaskSet  # tasks finished according to the record or to reports
+    recorded: TaskSet  # tasks finished according to the record
+    unrecorded: set[int] = field(default_factory=set)  # tasks finished according to reports, not yet in the record
+    open: "SortedSet[int]" = field(default_factory=SortedSet)  # unfinished tasks without a placement
+    places: dict[int, list[Placement]] = field(default_factory=dict)  # live placements by task
+    running: int = 0  # number of live placements that run or save
     gang_state: GangState = GangState.IDLE
     max_used_attempt: int = 0  # highest attempt that may have been started
-    not_before: timedelta | None = None
-    backoff: timedelta = FIRST_BACKOFF
-    failures: dict[str, int] = field(default_factory=dict)  # errors by machine
-    has_started: bool = False  # a task of it has run
-    logged_not_started: bool = False
-    has_succeeded: bool = False  # a task of it was done somewhere
-    ended: bool = False
-    notified_at: timedelta | None = None  # when the claimant was last told of `unrecorded`
-    reclaim_requested_at: timedelta | None = None
-    submitted: timedelta = NOTHING  # on this node's steady clock
+    not_before: timedelta | None = None  # no task is placed before this time
+    backoff: timedelta = FIRST_BACKOFF  # pause after the next failure of the job; doubles with each, up to a limit
+    failures: dict[str, int] = field(default_factory=dict)  # number of errors by machine
+    has_started: bool = False  # a task of the job has run
+    logged_not_started: bool = False  # the log line about a missed start is written once for each job
+    has_succeeded: bool = False  # a task of the job succeeded on some machine
+    ended: bool = False  # done or cancelled
+    notified_at: timedelta | None = None  # when the claimant was last notified of `unrecorded`
+    reclaim_requested_at: timedelta | None = None  # when a new attempt was last requested for the gang
+    submitted: timedelta = NOTHING  # on this node's monotonic clock
     waiting_since: timedelta | None = None
-    open_when_scanned: int = 0  # open tasks when a pass last compared it with all machines
-    reserved: dict[Machine, int] = field(default_factory=dict)  # room that is kept for a gang
+    open_when_scanned: int = 0  # number of open tasks when a pass last compared the run with all machines
+    reserved: dict[Machine, int] = field(default_factory=dict)  # number of task slots reserved on each machine
     reserved_since: timedelta | None = None
-    limit_reserved_since: timedelta | None = None  # since when what its team's limit leaves is kept for a gang
-    preemption_checked_at: timedelta | None = None  # when work was last looked at that could make room
-    order: Order = field(init=False)  # changes only through ``Backlog.reorder``
-    lateness: int = 0
+    limit_reserved_since: timedelta | None = None  # since when the rest of its team's limit is reserved for the gang
+    preemption_checked_at: timedelta | None = None  # when preemption of less urgent work for the run was last evaluated
+    order: Order = field(init=False)  # key in the backlog; changes only through `Backlog.reorder`
+    lateness: int = 0  # maximum of `ClusterState.lateness` so far; later jobs are ordered further back
     is_gang: bool = field(init=False)
-    demand: tuple[float, float] = field(init=False)  # processors and accelerators that it needs to get on
+    # Processors and accelerators needed to start: those of one task, or of all tasks of a gang.
+    demand: tuple[float, float] = field(init=False)
     constraint_key: ConstraintKey = field(init=False)
 
     def __post_init__(self) -> None:
@@ -82,12 +85,12 @@
         return [placement for places in self.places.values() for placement in places]
 
     def set_gang_state(self, state: GangState) -> None:
-        """The only place where a gang's state changes."""
+        """Sets the gang's state; no other code changes it."""
         self.gang_state = state
 
     @property
     def is_waiting(self) -> bool:
-        """Claimed, and at least one task has no place; a gang starts only as a whole."""
+        """Whether the job is claimed and has a task to place; a gang waits only with all its tasks to place."""
         if not self.open or self.ended or self.record.status is not JobStatus.RUNNING:
             return False
         if self.is_gang:
@@ -96,20 +99,21 @@
 
     @property
     def is_suspect(self) -> bool:
-        """It has failed and ran well nowhere so far, again and again: the job is to blame."""
+        """Whether the job itself is the probable cause: it failed repeatedly and succeeded on no machine."""
         return bool(self.failures) and not self.has_succeeded and self.backoff > FIRST_BACKOFF
 
     @property
     def needs_attempt(self) -> bool:
-        """A gang whose attempt may have been used needs a new one before it starts."""
+        """Whether the job is a gang that needs a new attempt to start, as its recorded one may have been used."""
         return self.is_gang and self.is_waiting and self.record.attempt <= self.max_used_attempt
 
 
 class Backlog:
-    """Runs with open tasks, by priority, then earliest due.
+    """Runs that wait for machines, by their order key: priority, then earliest due.
 
-    ``unscanned`` are those that a pass has to compare with all machines. The others found
-    no room at their last look; since then only machines that gained room can help them.
+    ``unscanned`` holds the runs that a pass has to compare with all machines. The other waiting
+    runs found too little free capacity when they were last scanned, so that only machines that
+    have gained free capacity since can take their tasks.
     """
 
     def __init__(self) -> None:
@@ -121,28 +125,31 @@
         self._min_demands: dict[ConstraintKey, MinDemand] = {}
 
     def update(self, run: JobRun, now: timedelta, *, fresh: bool = False) -> None:
-        """To be called after each change of what makes a run wait; ``fresh``: look at it anew."""
+        """Files the run according to its state; must be called after each change that may affect ``is_waiting``.
+
+        With ``fresh``, a waiting run is compared with all machines once more.
+        """
         order = run.order
         if run.is_waiting and run.not_before is not None and run.not_before > now:
             self._delayed[run.spec.job] = run
-            self._drop(run)
+            self._remove(run)
         elif run.is_waiting:
             if order not in self.waiting:
                 run.waiting_since = now
                 self.waiting[order] = run
-                self._join(run)
+                self._add_to_constraint_group(run)
                 fresh = True
             if fresh or len(run.open) > run.open_when_scanned:
                 self.unscanned[order] = run
         else:
-            self._drop(run)
+            self._remove(run)
         if run.needs_attempt:
             self.awaiting_attempt[run.spec.job] = run
         else:
             self.awaiting_attempt.pop(run.spec.job, None)
             run.reclaim_requested_at = None
 
-    def _drop(self, run: JobRun) -> None:
+    def _remove(self, run: JobRun) -> None:
         self.unscanned.pop(run.order, None)
         if self.waiting.pop(run.order, None) is None:
             return
@@ -156,34 +163,34 @@
         elif min_demand is not None and (
             spec.cpus <= min_demand.cpus or spec.gpus <= min_demand.gpus or spec.memory_gb <= min_demand.memory_gb
         ):
-            del self._min_demands[run.constraint_key]  # to be worked out again
+            del self._min_demands[run.constraint_key]  # recomputed by `min_demands`
 
-    def _join(self, run: JobRun) -> None:
+    def _add_to_constraint_group(self, run: JobRun) -> None:
         members = self._by_constraint.setdefault(run.constraint_key, {})
         members[run.spec.job] = run
         min_demand = self._min_demands.get(run.constraint_key)
         if min_demand is not None:
-            self._min_demands[run.constraint_key] = _less_of(min_demand, run.spec)
+            self._min_demands[run.constraint_key] = _lower_min_demand(min_demand, run.spec)
 
     def min_demands(self) -> list[tuple[ConstraintKey, MinDemand]]:
-        """What a task takes at the least, for each family of the jobs that wait."""
+        """The minimum demand of a task, for each constraint key among the waiting jobs."""
         for constraint_key, members in self._by_constraint.items():
             if constraint_key not in self._min_demands:
                 min_demand = MinDemand(math.inf, math.inf, math.inf)
                 for run in members.values():
-                    min_demand = _less_of(min_demand, run.spec)
+                    min_demand = _lower_min_demand(min_demand, run.spec)
                 self._min_demands[constraint_key] = min_demand
         return list(self._min_demands.items())
 
     def resume_delayed(self, now: timedelta) -> None:
-        """Takes up runs whose pause is over."""
+        """Moves runs whose pause has ended back to the waiting runs."""
         for job, run in list(self._delayed.items()):
             if run.not_before is None or run.not_before <= now:
                 del self._delayed[job]
                 self.update(run, now)
 
     def reorder(self, run: JobRun, order: Order) -> None:
-        """What a job is due for changes while it waits."""
+        """Changes the order key of a run, which may be waiting."""
         if order == run.order:
             return
         for queue in (self.waiting, self.unscanned):
@@ -192,11 +199,11 @@
         run.order = order
 
     def rescan_all(self) -> None:
-        """All that wait are compared with all machines once more."""
+        """Marks all waiting runs to be compared with all machines once more."""
         self.unscanned.update(self.waiting)
 
     def mark_scanned(self, run: JobRun) -> None:
-        """A pass has compared it with all machines."""
+        """Records that a pass has compared the run with all machines."""
         run.open_when_scanned = len(run.open)
         self.unscanned.pop(run.order, None)
 
@@ -204,20 +211,20 @@
         return iter(list(self.waiting.values()))
 
 
-def _less_of(min_demand: MinDemand, spec: JobSpec) -> MinDemand:
+def _lower_min_demand(min_demand: MinDemand, spec: JobSpec) -> MinDemand:
     return MinDemand(
         min(min_demand.cpus, spec.cpus), min(min_demand.gpus, spec.gpus), min(min_demand.memory_gb, spec.memory_gb)
     )
 
 
 def unknown_job_spec(job: str) -> JobSpec:
-    """Stands for a job that no record tells of."""
+    """Returns a placeholder for a job that has no record."""
     return JobSpec(
         job=job, jobclass="", team="", shape=Shape.ARRAY, priority=Priority.LOW, tasks=1, cpus=0.0, memory_gb=0.0
     )
 
 
 def run_of_ended_job(spec: JobSpec) -> JobRun:
-    """Stands for a job that is over, whose tasks are still found on machines."""
+    """Returns a run for an ended job whose tasks are still found on machines."""
     record = JobRecord(spec=spec, status=JobStatus.CANCELLED)
     return JobRun(spec, record, TaskSet(spec.tasks), TaskSet(spec.tasks), ended=True)
