--- a/gingerspar/coordination/cluster/capacity_index.py
+++ b/gingerspar/coordination/cluster/capacity_index.py
@@ -1,9 +1,9 @@
-"""What the machines could give to one kind of task: free places, and places made by stopping work.
+"""How many tasks of one kind the machines can take: free slots, and slots gained by preemption.
 
-Gangs of one kind ask the same question again and again, and a bad day has hundreds of
-them waiting. The answer is kept for each kind and follows the machines that change, so
-that a gang for which there is no room costs a comparison of sums, not a look at every
-machine.
+Gangs of the same kind repeat the same query, and under high load hundreds of them wait. The
+result is cached for each kind of task and updated only for machines that have changed, so
+that a gang for which there is too little capacity costs a comparison of sums and not a scan
+of all machines.
 """
 
 from collections import OrderedDict
@@ -16,23 +16,23 @@
 from gingerspar.coordination.cluster.machine import Machine, fits
 from gingerspar.protocol.messages import JobSpec
 
-MAX_INDEXES = 24  # kinds that are kept, the least recently asked for goes first
+MAX_INDEXES = 24  # kinds of task that are cached; the least recently queried one is evicted first
 
 CapacityKey = tuple[object, ...]
-Rank = tuple[float, str]  # what is lost for each place, and the machine
+Rank = tuple[float, str]  # preemption cost for each slot gained, and the machine name
 
 
 def capacity_key(spec: JobSpec) -> CapacityKey:
-    """Jobs that are alike in this find the same places and may stop the same work."""
+    """Jobs with equal keys may use the same slots and may preempt the same tasks."""
     return (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot, spec.priority.rank)
 
 
 @dataclass(slots=True)
 class Capacity:
-    """Numbers of tasks: of one machine, or summed up over a zone."""
+    """Numbers of task slots of one machine or one zone."""
 
     free: int = 0
-    by_stopping: int = 0  # more of them, once all less urgent work there has been stopped
+    by_stopping: int = 0  # additional slots if all less urgent tasks were stopped
 
     @property
     def total(self) -> int:
@@ -41,64 +41,70 @@
 
 @dataclass(slots=True)
 class CapacityIndex:
-    """Places for one kind of task on each machine that it may use."""
+    """Slots for one kind of task on each machine that it may use; other machines are left out.
+
+    Dictionaries of machines are by name.
+    """
 
     spec: JobSpec
-    places: dict[str, Capacity] = field(default_factory=dict)  # by machine, where there are any
-    free: dict[str, Machine] = field(default_factory=dict)  # machines with free places
-    preemptible: dict[str, Machine] = field(default_factory=dict)  # machines where stopping gives places
-    zones: dict[str, Capacity] = field(default_factory=dict)
-    stale: dict[str, Machine] = field(default_factory=dict)  # changed since the sums were worked out
-    ranked_at: timedelta | None = None
-    ranked: "SortedList[Rank]" = field(default_factory=SortedList)
-    ranks: dict[str, "Rank"] = field(default_factory=dict)  # those in ``ranked``
-    unranked: set[str] = field(default_factory=set)  # changed since; ranked only once somebody asks
+    places: dict[str, Capacity] = field(default_factory=dict)  # by machine name; only machines with slots
+    free: dict[str, Machine] = field(default_factory=dict)  # machines with free slots
+    preemptible: dict[str, Machine] = field(default_factory=dict)  # machines where preemption gains slots
+    zones: dict[str, Capacity] = field(default_factory=dict)  # totals by zone
+    stale: dict[str, Machine] = field(default_factory=dict)  # machines that changed since the last refresh
+    ranked_at: timedelta | None = None  # time for which the preemption costs in ``ranked`` hold
+    ranked: "SortedList[Rank]" = field(default_factory=SortedList)  # cheapest to stop first
+    ranks: dict[str, "Rank"] = field(default_factory=dict)  # the entries of ``ranked`` by machine name
+    unranked: set[str] = field(default_factory=set)  # machines changed since then; ranked by the next ``by_stop_cost``
 
     def refresh(self, usable: Callable[[Machine], bool]) -> int:
-        """Works out again what has changed; how many machines that were."""
+        """Recomputes the capacity of machines that have changed, and returns their number.
+
+        ``usable`` returns whether tasks of this kind may be placed on the machine now.
+        """
         if not self.stale:
             return 0
         changed, self.stale = self.stale, {}
         for name, machine in changed.items():
-            self._set(name, machine, _places(machine, self.spec) if usable(machine) else Capacity())
+            self._set(name, machine, _machine_capacity(machine, self.spec) if usable(machine) else Capacity())
         return len(changed)
 
-    def _set(self, name: str, machine: Machine, now: Capacity) -> None:
-        before = self.places.pop(name, None)
+    def _set(self, name: str, machine: Machine, capacity: Capacity) -> None:
+        previous = self.places.pop(name, None)
         total = self.zones.setdefault(machine.zone, Capacity())
-        if before is not None:
-            total.free -= before.free
-            total.by_stopping -= before.by_stopping
+        if previous is not None:
+            total.free -= previous.free
+            total.by_stopping -= previous.by_stopping
         self.free.pop(name, None)
         self.preemptible.pop(name, None)
         rank = self.ranks.pop(name, None)
         if rank is not None:
             self.ranked.remove(rank)
-        if now.total:
-            self.places[name] = now
-            total.free += now.free
-            total.by_stopping += now.by_stopping
-            if now.free:
+        if capacity.total:
+            self.places[name] = capacity
+            total.free += capacity.free
+            total.by_stopping += capacity.by_stopping
+            if capacity.free:
                 self.free[name] = machine
-            if now.by_stopping:
+            if capacity.by_stopping:
                 self.preemptible[name] = machine
                 self.unranked.add(name)
 
     def totals(self) -> Iterable[tuple[str, Capacity]]:
-        """Where the tasks of one job may all go: each zone, or all zones together."""
+        """The totals of each group of machines that can take all tasks of one job: each zone, or all zones together."""
         if self.spec.one_zone:
             return self.zones.items()
         total = Capacity()
-        for places in self.zones.values():
-            total.free += places.free
-            total.by_stopping += places.by_stopping
+        for capacity in self.zones.values():
+            total.free += capacity.free
+            total.by_stopping += capacity.by_stopping
         return (("", total),)
 
     def by_stop_cost(self, now: timedelta) -> Iterable[Machine]:
-        """Machines where stopping gives places, those that lose least for each place first.
+        """Machines where preemption gains slots, in ascending order of preemption cost for each slot.
 
-        What is lost grows with time, so all are ranked anew for another moment; within a
-        pass only those that have changed.
+        The cost grows with time, so all machines are ranked again for each new ``now``; within
+        a pass, for which ``now`` is the same, only those that have changed.
         """
         if self.ranked_at != now:
             self.ranked_at = now
@@ -112,11 +118,11 @@
         return (self.preemptible[name] for _, name in self.ranked)
 
     def _rank(self, name: str, machine: Machine, now: timedelta) -> Rank:
-        weights = machine.forecast().weights[self.spec.priority.rank + 1 :]
-        return (sum(weight.lost(now) for weight in weights) / self.places[name].by_stopping, name)
+        stop_costs = machine.forecast().weights[self.spec.priority.rank + 1 :]
+        return (sum(stop_cost.lost(now) for stop_cost in stop_costs) / self.places[name].by_stopping, name)
 
 
-def _places(machine: Machine, spec: JobSpec) -> Capacity:
+def _machine_capacity(machine: Machine, spec: JobSpec) -> Capacity:
     cpus, gpus, memory = machine.free()
     free = fits(spec, cpus, gpus, memory)
     if not machine.live:
@@ -127,18 +133,21 @@
 
 
 class CapacityIndexes:
-    """The kinds of task that have been asked for lately."""
+    """The capacity indexes of the most recently queried kinds of task."""
 
     def __init__(self) -> None:
         self._indexes: OrderedDict[CapacityKey, CapacityIndex] = OrderedDict()
 
     def machine_changed(self, machine: Machine) -> None:
-        """To be called for each change of a machine's state, room or tasks."""
+        """Must be called after each change of a machine's state, free capacity or tasks."""
         for index in self._indexes.values():
             index.stale[machine.name] = machine
 
     def of(self, spec: JobSpec, machines: Callable[[], Iterable[Machine]]) -> CapacityIndex:
-        """The need of the job's tasks, to be refreshed by the caller; ``machines``: all there are."""
+        """Returns the index for the tasks of the job, which the caller has to refresh.
+
+        ``machines`` returns all machines; a new index is filled from them.
+        """
         key = capacity_key(spec)
         index = self._indexes.get(key)
         if index is None:
--- a/gingerspar/coordination/cluster/pool.py
+++ b/gingerspar/coordination/cluster/pool.py
@@ -1,10 +1,10 @@
-"""The machines, indexed by what placing asks of them.
+"""All machines of a term, indexed for placement queries.
 
-A pass over several hundred machines must not look at each of them for each waiting
-job. The pool keeps ready machines apart by type, zone and kind, and within these by
-the whole processors and accelerators that are free, so that full machines are passed
-over by the dozen; it also remembers which machines have gained room since the last
-pass. All of it follows from the changes that a machine announces of itself.
+Checking each of several hundred machines for each waiting job would be too slow. The pool
+groups ready machines by offer (type, zone and purchase kind), and within an offer by the
+whole number of free processors and accelerators, so that full machines are skipped a bucket
+at a time. It also tracks which machines have gained free capacity since the last pass. The
+indexes are updated by the change callback of each machine.
 """
 
 from collections.abc import Container, Iterable, Iterator
@@ -16,14 +16,14 @@
 from gingerspar.coordination.cluster.machine import Machine, MachineState, fits, run_time
 from gingerspar.protocol.messages import JobSpec, MachineType
 
-Offer = tuple[str, str, bool]  # type, zone, spot
-Bucket = tuple[int, int]  # whole accelerators and processors that are free
+Offer = tuple[str, str, bool]  # machine type, zone, whether spot
+Bucket = tuple[int, int]  # free accelerators and free processors, rounded down
 
-ROUNDING = 1e-6
+ROUNDING = 1e-6  # tolerance for rounding errors in sums of resources
 
 
 def allows(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
-    """Type, zone and kind that the job allows."""
+    """Whether the job may run on machines of this type, zone and purchase kind."""
     if spec.types is not None and type_name not in spec.types:
         return False
     if spec.zone is not None and zone != spec.zone:
@@ -33,39 +33,39 @@
 
 @dataclass(slots=True)
 class Unsettled:
-    """Machines that may run what an older leader started."""
+    """Totals over machines that may still run tasks which an earlier leader started."""
 
     names: set[str] = field(default_factory=set)
-    unknown: int = 0  # of a type that is not known: counts as all there is
+    unknown: int = 0  # number of machines of unknown type; each counts as the full limit of a team
     cpus: float = 0.0
     gpus: float = 0.0
-    offers: dict[Offer, int] = field(default_factory=dict)
+    offers: dict[Offer, int] = field(default_factory=dict)  # number of machines by offer
 
 
 class Pool:
-    """All machines of a term."""
+    """All machines of a term, by name and state, with the index of ready ones."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
         self.states: dict[MachineState, dict[str, Machine]] = {state: {} for state in MachineState}
-        self.looked_at = 0  # machines that searches have looked at: what a pass costs
-        self._filed: dict[str, tuple[Offer, Bucket]] = {}
+        self.looked_at = 0  # number of machine checks made by searches: the measure of the cost of a pass
+        self._entries: dict[str, tuple[Offer, Bucket]] = {}
         self._state_of: dict[str, MachineState] = {}
-        self._room: dict[Offer, dict[Bucket, dict[str, Machine]]] = {}
+        self._buckets: dict[Offer, dict[Bucket, dict[str, Machine]]] = {}
         self._gained: dict[str, Machine] = {}
         self._unsettled: Unsettled | None = None
         self._capacity_indexes = CapacityIndexes()
-        self._held: dict[Machine, tuple[float, float, float]] | None = None
+        self._suppressed_gains: dict[Machine, tuple[float, float, float]] | None = None
 
     def add(self, machine: Machine) -> None:
         self.machines[machine.name] = machine
-        machine.on_change = self._changed
-        self._changed(machine, True)
+        machine.on_change = self._update_index
+        self._update_index(machine, True)
 
     def remove(self, machine: Machine) -> None:
         del self.machines[machine.name]
         del self.states[self._state_of.pop(machine.name)][machine.name]
-        self._unfile(machine)
+        self._remove_from_index(machine)
         self._capacity_indexes.machine_changed(machine)
         self._gained.pop(machine.name, None)
 
@@ -75,21 +75,24 @@
     def in_states(self, *states: MachineState) -> list[Machine]:
         return [machine for state in states for machine in self.states[state].values()]
 
-    # -- keeping the index ----------------------------------------------------
+    # -- index maintenance ----------------------------------------------------
 
-    def _changed(self, machine: Machine, gained: bool) -> None:
-        """Called by the machine itself after each change of its state or its room."""
+    def _update_index(self, machine: Machine, gained: bool) -> None:
+        """Callback of the machine after each change of its state or free capacity.
+
+        ``gained``: the machine may have more free capacity than before.
+        """
         name = machine.name
         if name not in self.machines:
             return
         self._capacity_indexes.machine_changed(machine)
-        before = self._state_of.get(name)
-        if before is not machine.state:
-            if before is not None:
-                del self.states[before][name]
+        previous_state = self._state_of.get(name)
+        if previous_state is not machine.state:
+            if previous_state is not None:
+                del self.states[previous_state][name]
             self.states[machine.state][name] = machine
             self._state_of[name] = machine.state
-        if MachineState.UNSETTLED in (before, machine.state):
+        if MachineState.UNSETTLED in (previous_state, machine.state):
             self._unsettled = None
         kind = machine.kind
         if (
@@ -98,99 +101,107 @@
             or kind is None
             or not machine.delivery.is_confirmed
         ):
-            self._unfile(machine)
+            self._remove_from_index(machine)
             return
         cpus, gpus, _ = machine.free()
-        place = ((machine.type, machine.zone, machine.spot), (int(gpus + ROUNDING), int(cpus + ROUNDING)))
-        filed = self._filed.get(name)
-        if filed != place:
-            self._unfile(machine)
-            self._filed[name] = place
-            self._room.setdefault(place[0], {}).setdefault(place[1], {})[name] = machine
-        if (gained or filed is None) and not (self._held is not None and machine in self._held):
+        new_entry = ((machine.type, machine.zone, machine.spot), (int(gpus + ROUNDING), int(cpus + ROUNDING)))
+        entry = self._entries.get(name)
+        if entry != new_entry:
+            self._remove_from_index(machine)
+            self._entries[name] = new_entry
+            self._buckets.setdefault(new_entry[0], {}).setdefault(new_entry[1], {})[name] = machine
+        if (gained or entry is None) and not (self._suppressed_gains is not None and machine in self._suppressed_gains):
             self._gained[name] = machine
 
-    def _unfile(self, machine: Machine) -> None:
-        filed = self._filed.pop(machine.name, None)
-        if filed is not None:
-            offer, bucket = filed
-            buckets = self._room[offer]
+    def _remove_from_index(self, machine: Machine) -> None:
+        entry = self._entries.pop(machine.name, None)
+        if entry is not None:
+            offer, bucket = entry
+            buckets = self._buckets[offer]
             del buckets[bucket][machine.name]
             if not buckets[bucket]:
                 del buckets[bucket]
 
     @contextmanager
     def ignore_transient_gains(self, machines: Iterable[Machine]) -> Iterator[None]:
-        """Room on these machines is given up and mostly taken again: only what stays free is news.
+        """While the context is open, the machines are not marked as having gained free capacity.
 
-        A gang gives its booked room up to look whether it fits now. If each such look told
-        all that wait that the machines had gained, the looks would never end.
+        At its end, a machine is marked if it has more free capacity than at the start. A gang
+        releases its reserved capacity to check whether it fits now, and mostly reserves it
+        again. If each such check marked the machines, it would cause all waiting jobs to be
+        checked again, without end.
         """
         before = {machine: machine.free() for machine in machines}
-        self._held = before
+        self._suppressed_gains = before
         try:
             yield
         finally:
-            self._held = None
-            for machine, room in before.items():
-                if any(now > then + ROUNDING for now, then in zip(machine.free(), room, strict=True)):
+            self._suppressed_gains = None
+            for machine, free_before in before.items():
+                if any(after > prior + ROUNDING for after, prior in zip(machine.free(), free_before, strict=True)):
                     self._gained[machine.name] = machine
 
-    # -- questions ------------------------------------------------------------
+    # -- queries --------------------------------------------------------------
 
     def capacity(self, spec: JobSpec) -> CapacityIndex:
-        """What the ready machines that the job allows could give to tasks like its own, up to date."""
+        """The refreshed index of how many tasks like those of the job each allowed ready machine can take."""
         index = self._capacity_indexes.of(spec, self.machines.values)
         self.looked_at += index.refresh(
-            lambda machine: machine.name in self._filed and allows(spec, machine.type, machine.zone, machine.spot)
+            lambda machine: machine.name in self._entries and allows(spec, machine.type, machine.zone, machine.spot)
         )
         return index
 
     def with_room(self, spec: JobSpec) -> list[Machine]:
-        """Ready machines that the job allows and that take at least one of its tasks."""
-        least_gpus, least_cpus = int(spec.gpus), int(spec.cpus)
+        """Ready machines that the job allows and that have free capacity for at least one of its tasks."""
+        min_gpus, min_cpus = int(spec.gpus), int(spec.cpus)
         found: list[Machine] = []
-        for offer, buckets in self._room.items():
+        for offer, buckets in self._buckets.items():
             if not allows(spec, *offer):
                 continue
             for (gpus, cpus), machines in buckets.items():
-                if gpus < least_gpus or cpus < least_cpus:
+                if gpus < min_gpus or cpus < min_cpus:
                     continue
                 self.looked_at += len(machines)
                 found += [machine for machine in machines.values() if machine.tasks_that_fit(spec) > 0]
         return found
 
-    def earliest_available(self, spec: JobSpec, spared: Container[Machine], now: timedelta) -> list[Machine]:
-        """The machine that would take a task of the job first, if it took nothing else; none of those ``spared``."""
+    def earliest_available(self, spec: JobSpec, excluded: Container[Machine], now: timedelta) -> list[Machine]:
+        """The machine, in a list of one, that could take a task of the job earliest, given no others until then.
+
+        Machines in ``excluded`` are skipped; the list is empty if no other machine is suitable.
+        """
         usable = [
             machine
             for machine in self.states[MachineState.READY].values()
-            if machine.name in self._filed
+            if machine.name in self._entries
             and machine.kind is not None
-            and machine not in spared
+            and machine not in excluded
             and allows(spec, machine.type, machine.zone, machine.spot)
             and fits(spec, machine.kind.cpus, machine.kind.gpus, machine.kind.memory_gb)
         ]
         self.looked_at += len(usable)
 
-        def until(machine: Machine) -> tuple[timedelta, str]:
-            """When enough will have ended there, by the estimates."""
-            when = now
+        def availability(machine: Machine) -> tuple[timedelta, str]:
+            """When enough tasks will have ended there, by their estimates; ties go by machine name."""
+            available_at = now
             cpus, gpus, memory = machine.unused()
-            ends = [((each.running_since or now) + run_time(each.spec), each.spec) for each in machine.live.values()]
-            for end, ended in sorted(ends, key=lambda each: each[0]):
+            task_ends = [
+                ((placement.running_since or now) + run_time(placement.spec), placement.spec)
+                for placement in machine.live.values()
+            ]
+            for end, ended_spec in sorted(task_ends, key=lambda task_end: task_end[0]):
                 if fits(spec, cpus, gpus, memory):
                     break
-                when = max(when, end)
-                cpus, gpus, memory = cpus + ended.cpus, gpus + ended.gpus, memory + ended.memory_gb
-            return when, machine.name
+                available_at = max(available_at, end)
+                cpus, gpus, memory = cpus + ended_spec.cpus, gpus + ended_spec.gpus, memory + ended_spec.memory_gb
+            return available_at, machine.name
 
-        return [min(usable, key=until)] if usable else []
+        return [min(usable, key=availability)] if usable else []
 
     def ready(self) -> list[tuple[Offer, MachineType, int]]:
-        """How many ready machines there are of each type, zone and kind."""
+        """The number of ready machines of each offer, with their machine type."""
         found: list[tuple[Offer, MachineType, int]] = []
-        for offer, buckets in self._room.items():
+        for offer, buckets in self._buckets.items():
             machine = next((machine for bucket in buckets.values() for machine in bucket.values()), None)
             if machine is not None:
                 assert machine.kind is not None
@@ -198,12 +209,13 @@
         return found
 
     def takes_tasks(self, machine: Machine) -> bool:
-        return machine.name in self._filed
+        """Whether new tasks may be placed on the machine."""
+        return machine.name in self._entries
 
     def take_gained(self) -> list[Machine]:
-        """Ready machines that may have more room than when this was last asked."""
+        """Returns the ready machines that may have gained free capacity since the last call."""
         gained, self._gained = self._gained, {}
-        return [machine for name, machine in gained.items() if name in self._filed]
+        return [machine for name, machine in gained.items() if name in self._entries]
 
     @property
     def has_gained(self) -> bool:
@@ -211,7 +223,7 @@
 
     @property
     def unsettled(self) -> Unsettled:
-        """What machines that have not reported yet may be using, summed up."""
+        """Totals of what machines that have not reported yet may be using."""
         if self._unsettled is None:
             total = Unsettled()
             for machine in self.states[MachineState.UNSETTLED].values():
