--- a/gingerspar/coordination/cluster/service_level.py
+++ b/gingerspar/coordination/cluster/service_level.py
@@ -1,9 +1,9 @@
-"""How far each class of jobs is served, and what a class that falls far behind gets.
+"""Tracks what fraction of each class's jobs is done, and gives a lagging class a share of the machines.
 
-Priority says who goes first, and with more urgent work than room it leaves routine work nothing at all.
-The operators count a day as failed on which less than half of any class is served. So a class that has
-fallen far behind gets a stated, small share of the machines that more urgent work keeps from it, until
-it has caught up.
+Jobs are placed by priority, so that routine work gets no machine while there is more urgent work than
+capacity. The operators count a day as failed if less than half of any class is served. A class that has
+fallen far behind therefore gets a fixed, small share of the machines that more urgent work would take,
+until it has caught up.
 """
 
 import logging
@@ -19,74 +19,77 @@
 
 log = logging.getLogger(__name__)
 
-LAGGING_BELOW = 0.5  # of the jobs that should be done by now
-SERVED_FROM = 0.65
-LEAST_JOBS = 20  # fewer say nothing yet
-OVERDUE_AFTER = timedelta(seconds=60)  # a job that has waited longer than this and twice its run time should be done
-LAGGING_SHARE = 0.2  # of all ready machines, for all lagging classes together
-TO_BEGIN = 0.05  # more of them, for first tasks of jobs that are late to begin
-TOP_RANK = -1  # before all priorities
+LAGGING_BELOW_FRACTION = 0.5  # a served class lags below this done fraction of its done and overdue jobs
+SERVED_FROM_FRACTION = 0.65  # a lagging class is served again from this fraction
+MIN_COUNTED_JOBS = 20  # with fewer done and overdue jobs, their fraction is not meaningful yet
+OVERDUE_AFTER = timedelta(seconds=60)  # a job is overdue this long plus twice its estimate after its submission
+LAGGING_SHARE = 0.2  # fraction of the capacity of all ready machines, for all lagging classes together
+FIRST_TASK_EXTRA_SHARE = 0.05  # additional fraction, for first tasks of jobs whose start is overdue
+TOP_RANK = -1  # rank in an order key that sorts before all priorities
 
 
 class ServiceLevelState(Enum):
+    """Whether enough of a class's jobs is done; a lagging class gets a share of the machines."""
+
     SERVED = "served"
     LAGGING = "lagging"
 
 
 @dataclass(slots=True)
 class ServiceLevel:
-    """What is known of one class."""
+    """Counts and state of one class of jobs."""
 
     state: ServiceLevelState = ServiceLevelState.SERVED
-    done: int = 0
-    overdue: int = 0  # unfinished, though they should be done by now
-    contended_offers: frozenset[Offer] = frozenset()  # sorts of machine that more urgent work waits for as well
+    done: int = 0  # number of jobs done
+    overdue: int = 0  # number of unfinished jobs that should be done by now
+    contended_offers: frozenset[Offer] = frozenset()  # offers that more urgent work waits for as well
 
 
 @dataclass(slots=True)
 class ServiceLevels:
-    """All classes of one term; counts begin with what the records tell of jobs that are over."""
+    """Service levels of all classes in one term; the counts start with the final records of ended jobs."""
 
     classes: dict[str, ServiceLevel] = field(default_factory=dict)
-    total_weight: float = 0.0  # of all ready machines
-    used_weight: float = 0.0  # of what runs within the share
+    total_weight: float = 0.0  # resource weight of all ready machines
+    used_weight: float = 0.0  # resource weight of the tasks placed within the share
 
     def job_ended(self, jobclass: str, done: bool) -> None:
-        """A job of the class is over; cancelled ones don't count."""
+        """Counts an ended job of the class; cancelled jobs don't count."""
         if done:
             self.classes.setdefault(jobclass, ServiceLevel()).done += 1
 
     def update(self, runs: Iterable[JobRun], pool: Pool, waiting: Iterable[JobRun], now: timedelta) -> None:
-        """Counts anew; to be called now and then."""
+        """Recounts overdue jobs and updates states, capacity and contended offers; to be called periodically."""
         for level in self.classes.values():
             level.overdue = 0
         for run in runs:
-            endless = run.spec.shape is Shape.SERVICE
-            if not run.ended and not endless and now - run.submitted > OVERDUE_AFTER + 2 * run.spec.estimate:
+            is_service = run.spec.shape is Shape.SERVICE
+            if not run.ended and not is_service and now - run.submitted > OVERDUE_AFTER + 2 * run.spec.estimate:
                 self.classes.setdefault(run.spec.jobclass, ServiceLevel()).overdue += 1
         for name, level in self.classes.items():
-            self._judge(name, level)
+            self._update_state(name, level)
         ready = pool.ready()
         self.total_weight = sum(count * resource_weight(kind) for _, kind, count in ready)
         lagging = self.lagging()
         if lagging:
             offers = [offer for offer, _, _ in ready]
-            self._sort_out(lagging, offers, list(waiting))
+            self._update_contended_offers(lagging, offers, list(waiting))
 
     def lagging(self) -> dict[str, ServiceLevel]:
-        return {name: each for name, each in self.classes.items() if each.state is ServiceLevelState.LAGGING}
+        """The lagging classes by name."""
+        return {name: level for name, level in self.classes.items() if level.state is ServiceLevelState.LAGGING}
 
-    def _judge(self, name: str, level: ServiceLevel) -> None:
+    def _update_state(self, name: str, level: ServiceLevel) -> None:
         counted = level.done + level.overdue
         share = level.done / counted if counted else 1.0
-        if level.state is ServiceLevelState.SERVED and counted >= LEAST_JOBS and share < LAGGING_BELOW:
-            self._move(name, level, ServiceLevelState.LAGGING)
-        elif level.state is ServiceLevelState.LAGGING and share >= SERVED_FROM:
-            self._move(name, level, ServiceLevelState.SERVED)
+        if level.state is ServiceLevelState.SERVED and counted >= MIN_COUNTED_JOBS and share < LAGGING_BELOW_FRACTION:
+            self._set_state(name, level, ServiceLevelState.LAGGING)
+        elif level.state is ServiceLevelState.LAGGING and share >= SERVED_FROM_FRACTION:
+            self._set_state(name, level, ServiceLevelState.SERVED)
 
     @staticmethod
-    def _move(name: str, level: ServiceLevel, state: ServiceLevelState) -> None:
-        """The only place where a class's state changes."""
+    def _set_state(name: str, level: ServiceLevel, state: ServiceLevelState) -> None:
+        """Sets and logs the state of a class; no other code changes it."""
         log.info(
             "class %s: %s -> %s, %d jobs done, %d overdue",
             name, level.state.value, state.value, level.done, level.overdue,
@@ -94,37 +97,43 @@
         level.state = state
 
     @staticmethod
-    def _sort_out(lagging: dict[str, ServiceLevel], offers: list[Offer], waiting: list[JobRun]) -> None:
-        """Which sorts of machine more urgent work of other classes keeps from each lagging class."""
+    def _update_contended_offers(lagging: dict[str, ServiceLevel], offers: list[Offer], waiting: list[JobRun]) -> None:
+        """Sets for each lagging class the offers that more urgent work of other classes waits for."""
         for name, level in lagging.items():
-            most_urgent = min((run.spec.priority.rank for run in waiting if run.spec.jobclass == name), default=0)
-            above = [run.spec for run in waiting if run.spec.priority.rank < most_urgent]
-            level.contended_offers = frozenset(offer for offer in offers if any(allows(spec, *offer) for spec in above))
+            most_urgent_rank = min((run.spec.priority.rank for run in waiting if run.spec.jobclass == name), default=0)
+            more_urgent = [run.spec for run in waiting if run.spec.priority.rank < most_urgent_rank]
+            level.contended_offers = frozenset(
+                offer for offer in offers if any(allows(spec, *offer) for spec in more_urgent)
+            )
 
     def has_priority(self, run: JobRun) -> bool:
-        """Whether the job goes before more urgent work, as far as the share reaches."""
+        """Whether the job is placed before more urgent work while the share is not used up."""
         level = self.classes.get(run.spec.jobclass)
         return level is not None and level.state is ServiceLevelState.LAGGING and not run.is_gang
 
     def is_contended(self, run: JobRun, machine: Machine) -> bool:
-        """Whether a place there would be taken from more urgent work that waits."""
+        """Whether a placement on the machine takes capacity from more urgent work that waits for it."""
         level = self.classes.get(run.spec.jobclass)
         return level is not None and (machine.type, machine.zone, machine.spot) in level.contended_offers
 
     def remaining_tasks(self, run: JobRun, *, to_begin: bool = False) -> int:
-        """Tasks of the job that the share still takes.
+        """The number of tasks of the job that fit into the rest of the share.
 
-        ``to_begin``: the first tasks of jobs that are late to begin have some more, as lagging classes use all of
-        the share (kerlann-fonts-fleet loss half as large again: five of the largest jobs had not begun in time).
+        With ``to_begin``, for the first task of a job whose start is overdue, the share is larger by
+        ``FIRST_TASK_EXTRA_SHARE``, because lagging classes use all of the normal share (kerlann-fonts-fleet loss half
+        as large again: five of the largest jobs had not started in time).
         """
         weight = resource_weight(run.spec)
-        share = LAGGING_SHARE + TO_BEGIN if to_begin else LAGGING_SHARE
+        share = LAGGING_SHARE + FIRST_TASK_EXTRA_SHARE if to_begin else LAGGING_SHARE
         return max(int((self.total_weight * share - self.used_weight) / weight), 0) if weight > 0 else 0
 
     def task_placed(self, placement: Placement) -> None:
-        if placement.protected and placement.spec.shape is not Shape.GANG:  # a gang that is late to begin is not in it
+        """Adds a protected task to the used share."""
+        # Gangs are protected only if their start is overdue, and don't count towards the share.
+        if placement.protected and placement.spec.shape is not Shape.GANG:
             self.used_weight += resource_weight(placement.spec)
 
     def task_ended(self, placement: Placement) -> None:
+        """Removes a protected task from the used share; called when it leaves its machine."""
         if placement.protected and placement.spec.shape is not Shape.GANG:
             self.used_weight = max(self.used_weight - resource_weight(placement.spec), 0.0)
