--- a/tests/test_service_level.py
+++ b/tests/test_service_level.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from gingerspar.coordination.cluster.job_order import PER_DOUBLING, JobOrder
+from gingerspar.coordination.cluster.job_order import DELAY_PER_WORK_DOUBLING, JobOrder
 from gingerspar.coordination.cluster.job_runs import JobRun
 from gingerspar.coordination.cluster.machine import Machine, MachineState, TaskState
 from gingerspar.coordination.cluster.service_level import LAGGING_SHARE, ServiceLevelState
@@ -129,7 +129,7 @@
         small = record(spec("wk-small", tasks=16, estimate_s=40.0), small_came)
         return job_order.key(small) < job_order.key(large)
 
-    twice_doubled = 2 * PER_DOUBLING.total_seconds()
+    twice_doubled = 2 * DELAY_PER_WORK_DOUBLING.total_seconds()
     assert goes_first(twice_doubled - 1)
     assert not goes_first(twice_doubled + 1)
     # Where the operators say when a class should be done, it is served in the order of submission.
@@ -140,6 +140,6 @@
     job_order = JobOrder()
     large = record(spec("wk-large", tasks=64, estimate_s=40.0))
     small = record(spec("wk-small", tasks=16, estimate_s=40.0))
-    assert job_order.key(large, left=2) < job_order.key(small) < job_order.key(large)
+    assert job_order.key(large, remaining_tasks=2) < job_order.key(small) < job_order.key(large)
     run = JobRun(large.spec, large, TaskSet(64), TaskSet(64))
     assert run.order == large.order  # until the book has seen it
