--- a/gingerspar/coordination/cluster/estimates.py
+++ b/gingerspar/coordination/cluster/estimates.py
@@ -1,4 +1,4 @@
-"""How long tasks run: users' estimates, corrected by what their class has been seen to do."""
+"""Predicts run times of tasks from users' estimates, corrected by the observed run times of their class."""
 
 import math
 from datetime import timedelta
@@ -6,66 +6,81 @@
 from gingerspar.coordination.cluster.machine import run_time
 from gingerspar.protocol.messages import JobSpec
 
-TRUST = 0.5  # of an estimate that is out of the common, before run times have been seen
-TRUST_WEIGHT = 30.0  # tasks that it takes to change that by half
+INITIAL_SLOPE = 0.5  # weight of an estimate's difference from the mean of its class before run times are observed
+PRIOR_WEIGHT_TASKS = 30.0  # number of ended tasks at which their run times weigh as much as the initial line
 
 
-class _Seen:
-    """Logarithms of the estimates and run times of one class."""
+class _ClassHistory:
+    """Running statistics of one class; all estimates and run times are logarithms of seconds."""
 
-    __slots__ = ("estimate", "jobs", "pairs", "product", "ran", "square", "tasks")
+    __slots__ = (
+        "jobs",
+        "mean_job_estimate",
+        "mean_run_time",
+        "mean_task_estimate",
+        "sum_products",
+        "sum_squares",
+        "tasks",
+    )
 
     def __init__(self) -> None:
         self.jobs = 0
-        self.estimate = 0.0  # mean over the jobs
+        self.mean_job_estimate = 0.0  # mean over the jobs submitted
         self.tasks = 0
-        self.pairs = 0.0  # mean estimate over the tasks that have ended
-        self.ran = 0.0  # mean run time
-        self.square = 0.0  # summed squares of the estimates around their mean
-        self.product = 0.0  # summed products of estimates and run times around their means
+        self.mean_task_estimate = 0.0  # mean over the tasks that have ended
+        self.mean_run_time = 0.0  # mean over the tasks that have ended
+        self.sum_squares = 0.0  # of the tasks' estimates, around their mean
+        self.sum_products = 0.0  # of the tasks' estimates and run times, around their means
 
-    def job(self, estimate: float) -> None:
+    def add_job(self, estimate: float) -> None:
         self.jobs += 1
-        self.estimate += (estimate - self.estimate) / self.jobs
+        self.mean_job_estimate += (estimate - self.mean_job_estimate) / self.jobs
 
-    def task(self, estimate: float, ran: float) -> None:
+    def add_task(self, estimate: float, run_time: float) -> None:
         self.tasks += 1
-        off = estimate - self.pairs
-        self.pairs += off / self.tasks
-        self.ran += (ran - self.ran) / self.tasks
-        self.square += off * (estimate - self.pairs)
-        self.product += off * (ran - self.ran)
-
-    def probable(self, estimate: float) -> float:
-        """A straight line through what was seen; at first one through the usual estimate."""
-        seen = self.tasks / (self.tasks + TRUST_WEIGHT)
-        slope = TRUST
-        if self.square > 1e-9:
-            slope += seen * (min(max(self.product / self.square, 0.0), 1.0) - TRUST)
-        first = self.estimate + TRUST * (estimate - self.estimate)
-        return (1 - seen) * first + seen * (self.ran + slope * (estimate - self.pairs))
+        deviation = estimate - self.mean_task_estimate
+        self.mean_task_estimate += deviation / self.tasks
+        self.mean_run_time += (run_time - self.mean_run_time) / self.tasks
+        self.sum_squares += deviation * (estimate - self.mean_task_estimate)
+        self.sum_products += deviation * (run_time - self.mean_run_time)
+
+    def predict(self, estimate: float) -> float:
+        """Predicts the run time by a linear regression over the ended tasks.
+
+        With few ended tasks, most of the weight is on an initial line through the mean estimate of
+        the class, with slope ``INITIAL_SLOPE``.
+        """
+        weight = self.tasks / (self.tasks + PRIOR_WEIGHT_TASKS)
+        slope = INITIAL_SLOPE
+        if self.sum_squares > 1e-9:
+            slope += weight * (min(max(self.sum_products / self.sum_squares, 0.0), 1.0) - INITIAL_SLOPE)
+        prior = self.mean_job_estimate + INITIAL_SLOPE * (estimate - self.mean_job_estimate)
+        return (1 - weight) * prior + weight * (self.mean_run_time + slope * (estimate - self.mean_task_estimate))
 
 
 class Estimates:
-    """By class. An estimate far from what is usual is more often wrong than the job unusual."""
+    """Predicts run times by class of jobs.
+
+    An estimate that is far from the mean of its class is more often wrong than the job is unusual.
+    """
 
     def __init__(self) -> None:
-        self._classes: dict[str, _Seen] = {}
+        self._classes: dict[str, _ClassHistory] = {}
 
     def job(self, spec: JobSpec) -> None:
-        """A job has come."""
+        """Adds the estimate of a submitted job."""
         if spec.estimate_s > 0:
-            self._classes.setdefault(spec.jobclass, _Seen()).job(math.log(spec.estimate_s))
+            self._classes.setdefault(spec.jobclass, _ClassHistory()).add_job(math.log(spec.estimate_s))
 
-    def task(self, spec: JobSpec, ran: timedelta) -> None:
-        """One of its tasks has run to its end."""
-        seen = self._classes.get(spec.jobclass)
-        if seen is not None and spec.estimate_s > 0 and ran > timedelta(0):
-            seen.task(math.log(spec.estimate_s), math.log(ran.total_seconds()))
+    def task(self, spec: JobSpec, duration: timedelta) -> None:
+        """Adds the run time of a task of the job that has succeeded."""
+        history = self._classes.get(spec.jobclass)
+        if history is not None and spec.estimate_s > 0 and duration > timedelta(0):
+            history.add_task(math.log(spec.estimate_s), math.log(duration.total_seconds()))
 
     def run_time(self, spec: JobSpec) -> timedelta:
-        """How long a task of the job probably runs."""
-        seen = self._classes.get(spec.jobclass)
-        if seen is None or spec.estimate_s <= 0:
+        """The predicted run time of a task of the job; without an estimate or history, that of ``machine.run_time``."""
+        history = self._classes.get(spec.jobclass)
+        if history is None or spec.estimate_s <= 0:
             return run_time(spec)
-        return timedelta(seconds=math.exp(seen.probable(math.log(spec.estimate_s))))
+        return timedelta(seconds=math.exp(history.predict(math.log(spec.estimate_s))))
