--- a/gingerspar/coordination/placement/__init__.py
+++ b/gingerspar/coordination/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where tasks go, and what is stopped to make room."""
+"""Placement of tasks on machines, and preemption to free capacity for them."""
--- a/gingerspar/coordination/placement/gang_reservation.py
+++ b/gingerspar/coordination/placement/gang_reservation.py
@@ -1,4 +1,4 @@
-"""Room for gangs: kept free piece by piece, and made by stopping what is less urgent."""
+"""Capacity for gangs: reserved as it becomes free, and freed by preempting lower-priority tasks."""
 
 import logging
 from collections.abc import Callable
@@ -14,11 +14,15 @@
 
 log = logging.getLogger(__name__)
 
-PREEMPT_AFTER = timedelta(seconds=1.5)  # a gang waits this long for room to come by itself
-RESERVATION_RETRY_INTERVAL = timedelta(seconds=1)  # so often one gang's room is worked out
-RESERVATION_TIMEOUT = timedelta(seconds=30)  # room that has not become enough by then is given up
-LOOKED_THROUGH = 2  # times as many places as are needed are worked out in full
-RESERVATION_PAUSE = timedelta(seconds=15)  # ... for so long, so that others get on
+# A gang waits this long for enough capacity to become free before any is reserved or tasks are preempted for it.
+RESERVATION_DELAY = timedelta(seconds=1.5)
+RESERVATION_RETRY_INTERVAL = timedelta(seconds=1)  # minimum time between two reservation attempts for one gang
+RESERVATION_TIMEOUT = timedelta(seconds=30)  # a reservation that has not become sufficient by then is released
+# The search for slots by preemption stops at this multiple of the gang's number of tasks (in each zone, if all tasks
+# must be in one zone).
+PREEMPTION_SLOTS_FACTOR = 2
+# After a reservation has timed out, the gang makes no new one for this long, so that other runs get capacity.
+RESERVATION_PAUSE = timedelta(seconds=15)
 
 
 def _any_machine(machine: Machine) -> bool:
@@ -27,66 +31,65 @@
 
 @dataclass(slots=True)
 class TaskSlot:
-    """A place for one task of the gang, and what must be stopped for it."""
+    """Capacity for one task of a gang, and the tasks that must be preempted for it."""
 
-    lost: float
+    preemption_cost: float
     machine: Machine
     victims: list[Placement]
 
     @property
     def rank(self) -> tuple[float, str]:
-        return (self.lost, self.machine.name)
+        return (self.preemption_cost, self.machine.name)
 
 
 class GangReservations:
-    """Keeps and makes room for gangs that fit nowhere."""
+    """Reserves capacity for gangs that do not fit, and preempts lower-priority tasks for them."""
 
     def __init__(self, cluster_state: ClusterState) -> None:
         self._cluster_state = cluster_state
 
-    def due(self, run: JobRun, now: timedelta) -> bool:
-        """Whether the gang has waited long enough since its room was last worked out."""
-        if not self._ripe(run, now):
+    def check_due(self, run: JobRun, now: timedelta) -> bool:
+        """Whether the gang has waited long enough, both in all and since the last reservation attempt."""
+        if not self._waited_long_enough(run, now):
             return False
         return run.preemption_checked_at is None or now - run.preemption_checked_at >= RESERVATION_RETRY_INTERVAL
 
     def cannot_fit(self, run: JobRun, now: timedelta) -> bool:
-        """Whether a look at the gang would change nothing, as the sums over its kind tell.
+        """Whether checking the gang would change nothing, according to the totals of its capacity index.
 
-        Not even stopping all that is less urgent would make it fit, and there is nothing
-        free that it doesn't keep already.
+        Preempting all lower-priority tasks would not make it fit, and all free capacity that it could use is
+        already reserved for it.
         """
         spec = run.spec
         if spec.spread or run.failures:
             return False
         if run.reserved_since is not None and now - run.reserved_since > RESERVATION_TIMEOUT:
-            return False  # what it keeps is due to be given up, or it may keep room again
+            return False  # its reservation is due for release, or it may reserve capacity again after the pause
         index = self._cluster_state.pool.capacity(spec)
         if index.free:
             return False
-        own: dict[str, int] = {}
+        reserved_by_zone: dict[str, int] = {}
         for machine, count in run.reserved.items():
             zone = machine.zone if spec.one_zone else ""
-            own[zone] = own.get(zone, 0) + count
-        if any(places.total + own.get(zone, 0) >= spec.tasks for zone, places in index.totals()):
+            reserved_by_zone[zone] = reserved_by_zone.get(zone, 0) + count
+        if any(capacity.total + reserved_by_zone.get(zone, 0) >= spec.tasks for zone, capacity in index.totals()):
             return False
-        if run.reserved_since is None and self._ripe(run, now) and self.fits_if_empty(run):
-            run.reserved_since = now  # its time to keep room has begun, though there is none yet
+        if run.reserved_since is None and self._waited_long_enough(run, now) and self.fits_if_empty(run):
+            run.reserved_since = now  # the reservation timeout runs although nothing is reserved yet
         return True
 
     @staticmethod
-    def _ripe(run: JobRun, now: timedelta) -> bool:
-        return run.waiting_since is not None and now - run.waiting_since >= PREEMPT_AFTER
+    def _waited_long_enough(run: JobRun, now: timedelta) -> bool:
+        return run.waiting_since is not None and now - run.waiting_since >= RESERVATION_DELAY
 
     def reserve(self, run: JobRun, now: timedelta) -> None:
-        """Books room for the gang and stops work of lower priority where that helps.
+        """Reserves capacity for the gang and preempts lower-priority tasks if the gang then fits.
 
-        Stopping is worth it only if the gang then fits; what loses least goes first. If it
-        doesn't, the gang still keeps what is free, so that small tasks and small gangs
-        that come after it don't take it away piece by piece.
+        The tasks that are cheapest to stop are preempted first. If preemption is not enough, the gang still reserves
+        the free capacity, so that small tasks and small gangs behind it do not take it bit by bit.
         """
         spec = run.spec
-        if not self._ripe(run, now) or spec.spread:
+        if not self._waited_long_enough(run, now) or spec.spread:
             return
         if (
             run.reserved_since is not None
@@ -94,39 +97,39 @@
             and self._cluster_state.first_overdue_gang(now) is not run
         ):
             if now - run.reserved_since < RESERVATION_TIMEOUT + RESERVATION_PAUSE:
-                return  # it had its time: others must not starve for it
+                return  # its reservation timed out: other runs must not starve
             run.reserved_since = None
         run.preemption_checked_at = now
         index = self._cluster_state.pool.capacity(spec)
-        if any(places.total >= spec.tasks for _, places in index.totals()):
-            slots = self._slots(run, index, now)
-            self._take(run, slots[: spec.tasks], now)
+        if any(capacity.total >= spec.tasks for _, capacity in index.totals()):
+            slots = self._find_slots(run, index, now)
+            self._reserve_and_preempt(run, slots[: spec.tasks], now)
         elif self.fits_if_empty(run):
-            slots = self._slots(run, index, now) if index.free else []
-            self._take(run, [slot for slot in slots if not slot.victims], now)
+            slots = self._find_slots(run, index, now) if index.free else []
+            self._reserve_and_preempt(run, [slot for slot in slots if not slot.victims], now)
 
     def reserve_on(self, run: JobRun, usable: Callable[[Machine], bool], now: timedelta) -> bool:
-        """Makes room on such machines, if stopping what is less urgent there is enough."""
+        """Reserves capacity on usable machines only, preempting tasks there; returns False if that is not enough."""
         spec = run.spec
         if spec.spread:
             return False
         index = self._cluster_state.pool.capacity(spec)
-        if not any(places.total >= spec.tasks for _, places in index.totals()):
+        if not any(capacity.total >= spec.tasks for _, capacity in index.totals()):
             return False
-        slots = self._slots(run, index, now, usable)
+        slots = self._find_slots(run, index, now, usable)
         if len(slots) < spec.tasks:
             return False
         run.preemption_checked_at = now
-        self._take(run, slots[: spec.tasks], now)
+        self._reserve_and_preempt(run, slots[: spec.tasks], now)
         return True
 
-    def _slots(
+    def _find_slots(
         self, run: JobRun, index: CapacityIndex, now: timedelta, usable: Callable[[Machine], bool] = _any_machine
     ) -> list[TaskSlot]:
-        """Places for the gang's tasks, those for which least is lost first; of one zone if it needs one.
+        """Slots for the gang's tasks, lowest preemption cost first; all in one zone if the job requires that.
 
-        Only the machines that promise the least loss for each place are gone through task
-        by task.
+        Preemption is worked out task by task only on the machines with the lowest stop cost per slot, until there are
+        enough slots (``PREEMPTION_SLOTS_FACTOR``).
         """
         spec = run.spec
         pool = self._cluster_state.pool
@@ -135,99 +138,101 @@
         for machine in sorted(filter(usable, index.free.values()), key=lambda machine: machine.name):
             slots += [TaskSlot(0.0, machine, [])] * min(machine.tasks_that_fit(spec), spec.tasks)
         if len(slots) < spec.tasks or spec.one_zone:
-            stopping: list[TaskSlot] = []
+            preemption_slots: list[TaskSlot] = []
             counts: dict[str, int] = {}
-            zones = set(index.zones) if spec.one_zone else {""}
+            open_zones = set(index.zones) if spec.one_zone else {""}
             for machine in index.by_stop_cost(now):
                 zone = machine.zone if spec.one_zone else ""
-                if zone not in zones or not usable(machine):
+                if zone not in open_zones or not usable(machine):
                     continue
                 pool.looked_at += 1
-                found = [slot for slot in self._by_stopping(run, machine, now) if slot.victims]
+                found = [slot for slot in self._slots_by_preemption(run, machine, now) if slot.victims]
                 counts[zone] = counts.get(zone, 0) + len(found)
-                stopping += found
-                if counts[zone] >= LOOKED_THROUGH * spec.tasks:
-                    zones.discard(zone)
-                    if not zones:
+                preemption_slots += found
+                if counts[zone] >= PREEMPTION_SLOTS_FACTOR * spec.tasks:
+                    open_zones.discard(zone)
+                    if not open_zones:
                         break
-            stopping.sort(key=lambda slot: slot.rank)
-            slots += stopping
+            preemption_slots.sort(key=lambda slot: slot.rank)
+            slots += preemption_slots
         return _best_zone(slots, spec.tasks) if spec.one_zone else slots
 
-    def _take(self, run: JobRun, slots: list[TaskSlot], now: timedelta) -> None:
-        room: dict[Machine, int] = {}
+    def _reserve_and_preempt(self, run: JobRun, slots: list[TaskSlot], now: timedelta) -> None:
+        counts: dict[Machine, int] = {}
         for slot in slots:
-            room[slot.machine] = room.get(slot.machine, 0) + 1
-        self._cluster_state.reserve(run, room, now)
+            counts[slot.machine] = counts.get(slot.machine, 0) + 1
+        self._cluster_state.reserve(run, counts, now)
         if any(victim.stop_grace is None for slot in slots for victim in slot.victims):
-            stopped = ", ".join(sorted({victim.job for slot in slots for victim in slot.victims}))
-            log.info("making room for %s on %d machines by stopping tasks of %s", run.spec.job, len(room), stopped)
+            jobs = ", ".join(sorted({victim.job for slot in slots for victim in slot.victims}))
+            log.info(
+                "reserving capacity for %s on %d machines, preempting tasks of %s", run.spec.job, len(counts), jobs
+            )
         for slot in slots:
             for victim in slot.victims:
                 preempt(self._cluster_state, victim, now)
 
     def fits_if_empty(self, run: JobRun) -> bool:
-        """Whether the machines there are would hold the gang if they were empty."""
+        """Whether the gang would fit on the ready machines if they were empty."""
         spec = run.spec
-        zones: dict[str, int] = {}
+        capacity_by_zone: dict[str, int] = {}
         for offer, kind, count in self._cluster_state.pool.ready():
             if allows(spec, *offer):
                 zone = offer[1] if spec.one_zone else ""
-                zones[zone] = zones.get(zone, 0) + count * scoring.task_capacity(kind, spec)
-        return max(zones.values(), default=0) >= spec.tasks
+                capacity_by_zone[zone] = capacity_by_zone.get(zone, 0) + count * scoring.task_capacity(kind, spec)
+        return max(capacity_by_zone.values(), default=0) >= spec.tasks
 
-    def _by_stopping(self, run: JobRun, machine: Machine, now: timedelta) -> list[TaskSlot]:
-        """Places for tasks of the gang on one machine, each with what must be stopped for it."""
+    def _slots_by_preemption(self, run: JobRun, machine: Machine, now: timedelta) -> list[TaskSlot]:
+        """Slots for tasks of the gang on one machine, each with the tasks that must be preempted for it."""
         spec = run.spec
         victims = [p for p in machine.live.values() if p.rank > spec.priority.rank]
         victims.sort(key=lambda p: (p.stop_grace is None, lost_work(p, now)))
         cpus, gpus, memory = machine.free()
         found: list[TaskSlot] = []
         chosen: list[Placement] = []
-        lost = 0.0
+        preemption_cost = 0.0
         while len(found) < spec.tasks:
             if cpus + 1e-9 >= spec.cpus and gpus + 1e-9 >= spec.gpus and memory + 1e-9 >= spec.memory_gb:
                 cpus, gpus, memory = cpus - spec.cpus, gpus - spec.gpus, memory - spec.memory_gb
-                found.append(TaskSlot(lost, machine, chosen))
+                found.append(TaskSlot(preemption_cost, machine, chosen))
                 chosen = []
             elif victims:
                 victim = victims.pop(0)
                 chosen.append(victim)
                 if victim.stop_grace is None:
-                    lost += 1.0 + lost_work(victim, now)
-                theirs = victim.spec
-                cpus, gpus, memory = cpus + theirs.cpus, gpus + theirs.gpus, memory + theirs.memory_gb
+                    preemption_cost += 1.0 + lost_work(victim, now)
+                victim_spec = victim.spec
+                cpus, gpus, memory = cpus + victim_spec.cpus, gpus + victim_spec.gpus, memory + victim_spec.memory_gb
             else:
                 break
         return found
 
 
 def preempt(cluster_state: ClusterState, victim: Placement, now: timedelta) -> None:
-    """Stops a task to make room, its gang with it; it saves if it can."""
+    """Stops a task, or its whole gang, to free capacity; tasks with checkpoints get time to save."""
     if victim.stop_grace is None and victim.live:
         grace = victim.spec.save_time if victim.spec.checkpoint_s else NO_GRACE_PERIOD
-        theirs = cluster_state.runs[victim.job]
-        if theirs.is_gang:
-            cluster_state.stop_run(theirs, grace, now)
+        victim_run = cluster_state.runs[victim.job]
+        if victim_run.is_gang:
+            cluster_state.stop_run(victim_run, grace, now)
         else:
             cluster_state.stop_task(victim, grace, now)
 
 
 def _best_zone(slots: list[TaskSlot], count: int) -> list[TaskSlot]:
-    """The slots of one zone: where ``count`` of them lose least, or else where there are most."""
-    zones: dict[str, list[TaskSlot]] = {}
+    """The slots of the zone with the most slots, up to ``count``; the lowest preemption cost decides between equals."""
+    slots_by_zone: dict[str, list[TaskSlot]] = {}
     for slot in slots:
-        zones.setdefault(slot.machine.zone, []).append(slot)
+        slots_by_zone.setdefault(slot.machine.zone, []).append(slot)
 
-    def worth(zone: str) -> tuple[int, float, str]:
-        there = zones[zone][:count]
-        return (-len(there), sum(slot.lost for slot in there), zone)
+    def cost_key(zone: str) -> tuple[int, float, str]:
+        first_slots = slots_by_zone[zone][:count]
+        return (-len(first_slots), sum(slot.preemption_cost for slot in first_slots), zone)
 
-    return zones[min(zones, key=worth)] if zones else []
+    return slots_by_zone[min(slots_by_zone, key=cost_key)] if slots_by_zone else []
 
 
 def lost_work(placement: Placement, now: timedelta) -> float:
-    """Resource seconds that a stop throws away, fetched image included."""
+    """Resource-seconds that stopping the task would discard, including the fetch of its image."""
     spec = placement.spec
     seconds = (now - (placement.running_since or placement.since)).total_seconds()
     if spec.checkpoint_s:
--- a/gingerspar/coordination/placement/placer.py
+++ b/gingerspar/coordination/placement/placer.py
@@ -1,4 +1,4 @@
-"""The placing pass: gives places to open tasks, by priority, then earliest due."""
+"""The placement pass: assigns open tasks to machines, by priority, then earliest due time."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -17,134 +17,149 @@
 
 log = logging.getLogger(__name__)
 
-MOST_LOOKS = 6000  # machines looked at in one go; then reports and reads get their turn
-LOOK_AGAIN = timedelta(seconds=2)  # so long may a change go unseen that no machine announces
+# Machine checks in one call of `Placer.place`. The next call continues the pass; in between, the leader handles
+# reports and reads.
+MAX_MACHINE_CHECKS = 6000
+# All waiting runs are checked against all machines at this interval. It bounds the delay after changes that no machine
+# announces.
+RESCAN_INTERVAL = timedelta(seconds=2)
 
-Signature = tuple[object, ...]
+FitKey = tuple[object, ...]
 
 
-def _signature(spec: JobSpec) -> Signature:
-    """Jobs that are alike in this find room on the same machines."""
+def _fit_key(spec: JobSpec) -> FitKey:
+    """Tasks of jobs with equal keys fit on the same machines."""
     return (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
 
 
-class Gained:
-    """Machines that have gained room since the last pass, kept apart by type, zone and kind.
+class GainedMachines:
+    """Machines that have gained free capacity since the last pass, grouped by offer (type, zone, spot or ordinary).
 
-    For each of these the most that any of its machines has free is known, so that a run
-    which fits nowhere among them is passed over with a look at each sort of machine.
+    The largest free amounts among the machines of each offer are kept, so that a run that fits on none of
+    the machines is ruled out with one check per offer.
     """
 
     def __init__(self, machines: Iterable[Machine]) -> None:
         self.names: set[str] = set()
-        self._sorts: dict[Offer, list[Machine]] = {}
-        self._most: dict[Offer, tuple[float, float, float]] = {}
+        self._by_offer: dict[Offer, list[Machine]] = {}
+        self._max_free: dict[Offer, tuple[float, float, float]] = {}
         for machine in machines:
             self.names.add(machine.name)
-            self._sorts.setdefault((machine.type, machine.zone, machine.spot), []).append(machine)
+            self._by_offer.setdefault((machine.type, machine.zone, machine.spot), []).append(machine)
 
     @property
-    def sorts(self) -> int:
-        return len(self._sorts)
-
-    def sum_up(self) -> None:
-        """To be called when machines may have lost room since."""
-        for offer in self._sorts:
-            self._sum_up(offer)
-
-    def _sum_up(self, offer: Offer) -> None:
-        rooms = [machine.free() for machine in self._sorts[offer]]
-        self._most[offer] = (max(r[0] for r in rooms), max(r[1] for r in rooms), max(r[2] for r in rooms))
+    def offer_count(self) -> int:
+        return len(self._by_offer)
+
+    def refresh_max_free(self) -> None:
+        """Recomputes the largest free amounts; required after machines may have lost free capacity."""
+        for offer in self._by_offer:
+            self._refresh_offer(offer)
+
+    def _refresh_offer(self, offer: Offer) -> None:
+        amounts = [machine.free() for machine in self._by_offer[offer]]
+        self._max_free[offer] = (
+            max(amount[0] for amount in amounts),
+            max(amount[1] for amount in amounts),
+            max(amount[2] for amount in amounts),
+        )
 
     def usable(self, spec: JobSpec) -> list[Machine]:
-        """Those with room for a task of the job."""
+        """Machines with free capacity for at least one task of the job."""
         found: list[Machine] = []
-        for offer, most in self._most.items():
-            if fits(spec, *most) and allows(spec, *offer):
-                found += [machine for machine in self._sorts[offer] if machine.tasks_that_fit(spec) > 0]
+        for offer, max_free in self._max_free.items():
+            if fits(spec, *max_free) and allows(spec, *offer):
+                found += [machine for machine in self._by_offer[offer] if machine.tasks_that_fit(spec) > 0]
         return found
 
-    def may_help(self, min_demand: MinDemand) -> bool:
-        """Whether any of the runs that this sums up may find room here."""
+    def may_fit(self, min_demand: MinDemand) -> bool:
+        """Whether a run may fit here, given the minimum demand over a group of runs; constraints are not checked."""
         return any(
             cpus + ROUNDING >= min_demand.cpus
             and gpus + ROUNDING >= min_demand.gpus
             and memory + ROUNDING >= min_demand.memory_gb
-            for cpus, gpus, memory in self._most.values()
+            for cpus, gpus, memory in self._max_free.values()
         )
 
 
 class Placer:
-    """Goes through the backlog in order; a pass that grows too long goes on later.
+    """Places the runs of the backlog in order; a pass that takes too long is continued by the next call.
 
-    A run that found no room is compared again only with machines that have gained some.
+    A run that was checked against all machines without success is checked again only against machines that have
+    gained free capacity since, and against all machines every ``RESCAN_INTERVAL``.
     """
 
     def __init__(self, cluster_state: ClusterState) -> None:
         self._cluster_state = cluster_state
         self._gang_reservations = GangReservations(cluster_state)
         self._limit_reservations = TeamLimitReservations(cluster_state, self._gang_reservations)
-        self._gained = Gained([])  # what the walk under way compares runs with
-        self._walked: Order | None = None  # up to here
-        self._looked_again = timedelta(0)
-        self._found: dict[Signature, list[Machine]] = {}  # machines with room, by kind of task
-        # What found no machine among those that gained room, by family and whether it was careful.
-        self._barren: dict[tuple[ConstraintKey, bool], list[MinDemand]] = {}
+        self._gained = GainedMachines([])  # machines that the current pass checks runs against
+        self._resume_after: Order | None = None  # the last run that an unfinished pass has checked
+        self._last_rescan = timedelta(0)
+        self._machines_by_key: dict[FitKey, list[Machine]] = {}  # machines with free capacity for a task
+        # Demands that fit on none of the gained machines, by constraints and whether accelerators had to be spared.
+        self._failed_demands: dict[tuple[ConstraintKey, bool], list[MinDemand]] = {}
 
     def place(self, now: timedelta) -> bool:
-        """True once everything that changed has been looked at."""
+        """Runs one slice of a placement pass; returns True once every change has been handled."""
         cluster_state, pool, backlog = self._cluster_state, self._cluster_state.pool, self._cluster_state.backlog
         backlog.resume_delayed(now)
-        if now - self._looked_again >= LOOK_AGAIN:
-            self._looked_again = now
+        if now - self._last_rescan >= RESCAN_INTERVAL:
+            self._last_rescan = now
             cluster_state.update_service_levels(now)
             for run in backlog:
                 cluster_state.log_if_not_started(run, now)
                 backlog.reorder(run, cluster_state.order_key(run, now))
             cluster_state.update_first_overdue_gang(now)
             backlog.rescan_all()
-        if self._walked is None:
-            self._gained = Gained(pool.take_gained())
+        if self._resume_after is None:
+            self._gained = GainedMachines(pool.take_gained())
         gained = self._gained
         if not gained.names and not backlog.unscanned:
             return True
-        self._found, self._barren = {}, {}
-        self._limit_reservations.begin_pass()
-        until = pool.looked_at + MOST_LOOKS
-        gained.sum_up()
-        helped = self._helped(gained)
-        owners = {job for name in gained.names for job in cluster_state.jobs_with_reservations.get(name, ())}
-        for order in self._orders(gained, helped, owners, now):
+        self._machines_by_key, self._failed_demands = {}, {}
+        self._limit_reservations.start_pass()
+        max_looked_at = pool.looked_at + MAX_MACHINE_CHECKS
+        gained.refresh_max_free()
+        candidate_keys = self._candidate_keys(gained)
+        reserving_jobs = {job for name in gained.names for job in cluster_state.jobs_with_reservations.get(name, ())}
+        for order in self._orders_to_check(gained, candidate_keys, reserving_jobs, now):
             run = backlog.waiting.get(order)
             if run is None or self._limit_reservations.is_blocked(run):
-                continue  # placed or stopped meanwhile, or it is its team's limit that it waits for
-            unseen = order in backlog.unscanned
-            if not unseen and self._walked is not None and order <= self._walked:
+                continue  # placed or stopped meanwhile, or blocked by its team's limit
+            unscanned = order in backlog.unscanned
+            if not unscanned and self._resume_after is not None and order <= self._resume_after:
                 continue
             if not cluster_state.blocked_by_unsettled(run):
-                before = len(run.open)
-                if unseen:
-                    self._serve(run, None, now)
-                elif run.is_gang or (run.constraint_key in helped and not self._in_vain(run)):
-                    self._serve(run, gained, now)
-                if len(run.open) != before:
-                    gained.sum_up()
-                    helped = self._helped(gained)
-            if pool.looked_at >= until:
-                self._walked = order if gained.names else None
+                open_before = len(run.open)
+                if unscanned:
+                    self._place_run(run, None, now)
+                elif run.is_gang or (run.constraint_key in candidate_keys and not self._fails_on_gained(run)):
+                    self._place_run(run, gained, now)
+                if len(run.open) != open_before:
+                    gained.refresh_max_free()
+                    candidate_keys = self._candidate_keys(gained)
+            if pool.looked_at >= max_looked_at:
+                self._resume_after = order if gained.names else None
                 return False
-        self._walked, self._gained = None, Gained([])
+        self._resume_after, self._gained = None, GainedMachines([])
         return not pool.has_gained
 
-    def _helped(self, gained: Gained) -> set[ConstraintKey]:
+    def _candidate_keys(self, gained: GainedMachines) -> set[ConstraintKey]:
+        """Constraint keys with at least one waiting run that may fit on the gained machines."""
         return {
             constraint_key
             for constraint_key, min_demand in self._cluster_state.backlog.min_demands()
-            if gained.may_help(min_demand)
+            if gained.may_fit(min_demand)
         }
 
-    def _orders(self, gained: Gained, helped: set[ConstraintKey], owners: set[str], now: timedelta) -> list[Order]:
-        """Whom the pass goes through: those not looked at yet, and those whom what was gained may help."""
+    def _orders_to_check(
+        self, gained: GainedMachines, candidate_keys: set[ConstraintKey], reserving_jobs: set[str], now: timedelta
+    ) -> list[Order]:
+        """Runs for the pass to check: unscanned runs, and runs that may fit on the gained machines.
+
+        Gangs are checked as well if they have reservations on gained machines or are due for a reservation attempt.
+        """
         backlog = self._cluster_state.backlog
         if not gained.names:
             return list(backlog.unscanned)
@@ -152,76 +167,85 @@
             order
             for order, run in backlog.waiting.items()
             if order in backlog.unscanned
-            or run.constraint_key in helped
-            or (run.is_gang and (run.spec.job in owners or self._gang_reservations.due(run, now)))
+            or run.constraint_key in candidate_keys
+            or (run.is_gang and (run.spec.job in reserving_jobs or self._gang_reservations.check_due(run, now)))
         ]
 
-    def _serve(self, run: JobRun, among: Gained | None, now: timedelta) -> None:
-        """Places what can be placed; ``among``: only these machines are new to it."""
-        team_room = self._cluster_state.team_headroom(run.spec)
-        if team_room < (run.spec.tasks if run.is_gang else 1):
+    def _place_run(self, run: JobRun, gained: GainedMachines | None, now: timedelta) -> None:
+        """Places as many tasks as possible, on the gained machines only, or on any machine if ``gained`` is None."""
+        headroom = self._cluster_state.team_headroom(run.spec)
+        if headroom < (run.spec.tasks if run.is_gang else 1):
             self._limit_reservations.record_refusal(run)
             if run.is_gang:
                 self._limit_reservations.reserve(run, now)
-            return  # stays as it is: room in the team, not on machines, is what it waits for
+            return  # its scan state stays: the run waits for its team's limit, not for machines
         if run.is_gang:
-            own = among is not None and any(machine.name in among.names for machine in run.reserved)
-            if among is None or own or self._gang_reservations.due(run, now) or self._usable(run, among):
+            reservation_gained = gained is not None and any(machine.name in gained.names for machine in run.reserved)
+            if (
+                gained is None
+                or reservation_gained
+                or self._gang_reservations.check_due(run, now)
+                or self._usable(run, gained)
+            ):
                 self._place_gang(run, now)
                 self._cluster_state.backlog.mark_scanned(run)
         else:
-            machines = self._with_room(run) if among is None else self._usable(run, among)
-            late = run.order[0] == TOP_RANK and self._cluster_state.is_start_overdue(run, now)
-            if late and among is None:
-                machines = self._kept_for(run, machines, now)
-            if machines and not late and self._careful(run.spec):
-                machines = self._beside_accelerated(run.spec, machines)
-            if not machines and among is not None and not run.failures:
+            machines = self._with_free_capacity(run) if gained is None else self._usable(run, gained)
+            start_overdue = run.order[0] == TOP_RANK and self._cluster_state.is_start_overdue(run, now)
+            if start_overdue and gained is None:
+                machines = self._machines_for_overdue_start(run, machines, now)
+            if machines and not start_overdue and self._must_spare_accelerators(run.spec):
+                machines = self._filter_sparing_accelerators(run.spec, machines)
+            if not machines and gained is not None and not run.failures:
                 spec = run.spec
-                self._barren.setdefault((run.constraint_key, self._careful(spec)), []).append(
+                self._failed_demands.setdefault((run.constraint_key, self._must_spare_accelerators(spec)), []).append(
                     MinDemand(spec.cpus, spec.gpus, spec.memory_gb)
                 )
             if machines:
-                self._place_tasks(run, machines, 1 if late else team_room, now, late=late)
+                self._place_tasks(run, machines, 1 if start_overdue else headroom, now, start_overdue=start_overdue)
             if not run.open or self._cluster_state.team_headroom(run.spec) > 0:
-                self._cluster_state.backlog.mark_scanned(run)  # else it is the limit that it waits for
+                # Otherwise the run waits for its team's limit, not for machines.
+                self._cluster_state.backlog.mark_scanned(run)
 
-    def _in_vain(self, run: JobRun) -> bool:
-        """A task that takes no more has found no place among the machines that gained room.
+    def _fails_on_gained(self, run: JobRun) -> bool:
+        """Whether a task with no larger demand has already failed to fit on the gained machines in this pass.
 
-        Within a pass they only lose some. On vatuloa-grep-fleet loss fifty jobs a pass looked at the
-        processors that are kept beside free accelerators, and did so again in the next.
+        Free capacity only shrinks within a pass. Without this check, fifty jobs in each pass scanned the processors
+        that are reserved for free accelerators, without success (vatuloa-grep-fleet loss).
         """
         spec = run.spec
         return any(
             spec.cpus >= min_demand.cpus and spec.gpus >= min_demand.gpus and spec.memory_gb >= min_demand.memory_gb
-            for min_demand in self._barren.get((run.constraint_key, self._careful(spec)), ())
+            for min_demand in self._failed_demands.get((run.constraint_key, self._must_spare_accelerators(spec)), ())
         )
 
-    def _careful(self, spec: JobSpec) -> bool:
-        """Routine work without accelerators keeps off the processors that free accelerators need."""
+    def _must_spare_accelerators(self, spec: JobSpec) -> bool:
+        """Whether the job must not use processors that free accelerators need: routine jobs without accelerators."""
         return not spec.gpus and spec.priority.rank > Priority.HIGH.rank and bool(self._cluster_state.accelerator_specs)
 
     # -- machines for a run ---------------------------------------------------
 
-    def _usable(self, run: JobRun, gained: Gained) -> list[Machine]:
-        self._cluster_state.pool.looked_at += gained.sorts
+    def _usable(self, run: JobRun, gained: GainedMachines) -> list[Machine]:
+        self._cluster_state.pool.looked_at += gained.offer_count
         return self._without_failures(run, gained.usable(run.spec))
 
-    def _with_room(self, run: JobRun) -> list[Machine]:
-        """All machines with room for its tasks; within a pass they only lose some."""
-        key = _signature(run.spec)
-        known = self._found.get(key)
-        if known is None:
+    def _with_free_capacity(self, run: JobRun) -> list[Machine]:
+        """All machines with free capacity for a task of the run.
+
+        Cached by task requirements: free capacity only shrinks within a pass.
+        """
+        key = _fit_key(run.spec)
+        cached = self._machines_by_key.get(key)
+        if cached is None:
             found = self._cluster_state.pool.with_room(run.spec)
         else:
-            self._cluster_state.pool.looked_at += len(known)
-            found = [machine for machine in known if machine.tasks_that_fit(run.spec) > 0]
-        self._found[key] = found
+            self._cluster_state.pool.looked_at += len(cached)
+            found = [machine for machine in cached if machine.tasks_that_fit(run.spec) > 0]
+        self._machines_by_key[key] = found
         return self._without_failures(run, found)
 
     def _without_failures(self, run: JobRun, machines: list[Machine]) -> list[Machine]:
-        """Without the machines where this job failed while it ran well elsewhere."""
+        """Excludes machines where the job has failed while it ran well elsewhere, unless no other machine is left."""
         if not run.failures:
             return machines
         return [machine for machine in machines if machine.name not in run.failures] or machines
@@ -231,27 +255,30 @@
     def _place_gang(self, run: JobRun, now: timedelta) -> None:
         if not self._gang_reservations.cannot_fit(run, now):
             with self._cluster_state.pool.ignore_transient_gains(run.reserved):
-                self._weigh(run, now)
+                self._try_place_gang(run, now)
 
-    def _weigh(self, run: JobRun, now: timedelta) -> None:
-        """Looks whether the gang fits now; its booked room is given up and mostly taken again."""
+    def _try_place_gang(self, run: JobRun, now: timedelta) -> None:
+        """Places the gang if it fits now, otherwise reserves capacity for it.
+
+        Its reservation is released first and in most cases made again.
+        """
         spec, cluster_state = run.spec, self._cluster_state
-        kept = list(run.reserved)
+        reserved = list(run.reserved)
         cluster_state.release_reservation(run)
-        machines = self._with_room(run)
-        if kept:
-            there = {machine.name for machine in machines}
-            machines = machines + [m for m in kept if m.name not in there and self._ready(m, spec)]
+        machines = self._with_free_capacity(run)
+        if reserved:
+            names = {machine.name for machine in machines}
+            machines = machines + [m for m in reserved if m.name not in names and self._can_take_task(m, spec)]
         scorer = scoring.Scorer(spec, cluster_state.types, now)
-        found = scoring.choose_all(spec, machines, spec.tasks, scorer)
-        dear = self._prolonging(spec, now)
-        if found is not None and any(map(dear, set(found))):
-            cheap = [machine for machine in machines if not dear(machine)]
-            cheaper = scoring.choose_all(spec, cheap, spec.tasks, scorer)
+        found = scoring.choose_machines(spec, machines, spec.tasks, scorer)
+        prolongs = self._prolongs_expensive_use(spec, now)
+        if found is not None and any(map(prolongs, set(found))):
+            cheap = [machine for machine in machines if not prolongs(machine)]
+            cheaper = scoring.choose_machines(spec, cheap, spec.tasks, scorer)
             if cheaper is not None:
                 found = cheaper
             elif cluster_state.can_wait(run, now) and self._gang_reservations.reserve_on(
-                run, lambda machine: not dear(machine), now
+                run, lambda machine: not prolongs(machine), now
             ):
                 return
         if found is None:
@@ -262,115 +289,124 @@
             counts: dict[Machine, int] = {}
             for machine in found:
                 counts[machine] = counts.get(machine, 0) + 1
-            cluster_state.reserve(run, counts, now)  # the new attempt is on its way
+            # The gang waits for a new attempt number; until it is recorded, the capacity stays reserved.
+            cluster_state.reserve(run, counts, now)
             return
         log.debug("gang %s placed", spec.job)
-        late = cluster_state.is_start_overdue(run, now)  # else what is more urgent would stop it at once
+        # An overdue gang is protected; otherwise more urgent work would preempt it at once.
+        start_overdue = cluster_state.is_start_overdue(run, now)
         for number, machine in enumerate(found):
-            cluster_state.plan_task(run, number, machine, now, protected=late)
+            cluster_state.plan_task(run, number, machine, now, protected=start_overdue)
         run.set_gang_state(GangState.PLACED)
         cluster_state.backlog.update(run, now)
 
-    def _ready(self, machine: Machine, spec: JobSpec) -> bool:
+    def _can_take_task(self, machine: Machine, spec: JobSpec) -> bool:
         return self._cluster_state.pool.takes_tasks(machine) and machine.tasks_that_fit(spec) > 0
 
     # -- arrays and services --------------------------------------------------
 
-    def _kept_for(self, run: JobRun, machines: list[Machine], now: timedelta) -> list[Machine]:
-        """Machines for the first task of a job that is late to begin.
+    def _machines_for_overdue_start(self, run: JobRun, machines: list[Machine], now: timedelta) -> list[Machine]:
+        """Machines for the first task of a job whose start is overdue; reserves a slot if there are none.
 
-        On a full fleet gangs keep each place that comes free, and a task that takes most of a machine finds
-        no room while small ones take them. So it keeps a place on the machine that will have it first, and
-        what gangs keep there gives way once that is enough.
+        On a full fleet gangs reserve every slot that becomes free, and a task that needs most of a machine finds no
+        free capacity while small tasks take it. The task therefore reserves a slot on the machine that is expected
+        to have one first. Gangs' reservations on that machine are released once that frees enough capacity.
         """
         spec, cluster_state = run.spec, self._cluster_state
-        kept = [machine for machine in run.reserved if cluster_state.pool.takes_tasks(machine)]
+        reserved = [machine for machine in run.reserved if cluster_state.pool.takes_tasks(machine)]
         cluster_state.release_reservation(run)
-        machines = machines or [machine for machine in kept if self._ready(machine, spec)]
+        machines = machines or [machine for machine in reserved if self._can_take_task(machine, spec)]
         if machines:
             return machines
-        gang = cluster_state.first_overdue_gang(now)
-        spared = gang.reserved if gang is not None else {}
-        kept = [machine for machine in kept if machine not in spared] or cluster_state.pool.earliest_available(
-            spec, spared, now
-        )
-        if not kept:
+        overdue_gang = cluster_state.first_overdue_gang(now)
+        excluded = overdue_gang.reserved if overdue_gang is not None else {}
+        reserved = [
+            machine for machine in reserved if machine not in excluded
+        ] or cluster_state.pool.earliest_available(spec, excluded, now)
+        if not reserved:
             return []
-        if fits(spec, *kept[0].unused()):
-            for job in list(cluster_state.jobs_with_reservations.get(kept[0].name, ())):
+        if fits(spec, *reserved[0].unused()):
+            for job in list(cluster_state.jobs_with_reservations.get(reserved[0].name, ())):
                 cluster_state.release_reservation(cluster_state.runs[job])
-            if self._ready(kept[0], spec):
-                return kept
-        cluster_state.reserve(run, {kept[0]: 1}, now)
+            if self._can_take_task(reserved[0], spec):
+                return reserved
+        cluster_state.reserve(run, {reserved[0]: 1}, now)
         return []
 
     def _place_tasks(
-        self, run: JobRun, machines: list[Machine], team_room: int, now: timedelta, *, late: bool = False
+        self, run: JobRun, machines: list[Machine], headroom: int, now: timedelta, *, start_overdue: bool = False
     ) -> None:
-        """``late``: its first task, which goes before all others' and isn't stopped for them."""
+        """Places open tasks on the machines, up to ``headroom`` tasks.
+
+        ``start_overdue``: places the first task of an overdue job, ahead of all others and protected from preemption.
+        """
         spec, cluster_state = run.spec, self._cluster_state
-        careful = self._careful(spec) and not late
-        if not late and spec.priority.rank > Priority.HIGH.rank and cluster_state.can_wait(run, now):
-            dear = self._prolonging(spec, now)
-            machines = [machine for machine in machines if not dear(machine)]
-        zones = scoring.zone_room(spec, run.live) if spec.one_zone or spec.spread else None
+        must_spare = self._must_spare_accelerators(spec) and not start_overdue
+        if not start_overdue and spec.priority.rank > Priority.HIGH.rank and cluster_state.can_wait(run, now):
+            prolongs = self._prolongs_expensive_use(spec, now)
+            machines = [machine for machine in machines if not prolongs(machine)]
+        zone_headroom = scoring.zone_headroom(spec, run.live) if spec.one_zone or spec.spread else None
         if len(run.open) < sum(machine.tasks_that_fit(spec) for machine in machines):
             machines = scoring.ranked(machines, scoring.Scorer(spec, cluster_state.types, now))
-        attempt, left = run.record.attempt, team_room
+        attempt, remaining = run.record.attempt, headroom
         if run.is_suspect:
-            left = min(left, 1 - len(run.places))  # one task shows whether it fails again; the others take no place
-        before_others = run.order[0] == TOP_RANK
+            # One task shows whether the job fails again; the others take up no capacity.
+            remaining = min(remaining, 1 - len(run.places))
+        has_top_rank = run.order[0] == TOP_RANK
         for machine in machines:
-            room = machine.tasks_that_fit(spec)
-            protected = late or (before_others and cluster_state.service_levels.is_contended(run, machine))
+            capacity = machine.tasks_that_fit(spec)
+            protected = start_overdue or (has_top_rank and cluster_state.service_levels.is_contended(run, machine))
             if protected:
-                room = min(
-                    room, cluster_state.service_levels.remaining_tasks(run, to_begin=late)
-                )  # the rest is for more urgent work
-            for number in list(run.open[: room + len(machine.exited_placements)]):
-                if left <= 0 or room <= 0 or (zones is not None and zones[machine.zone] <= 0):
+                # The rest is left to more urgent work.
+                capacity = min(capacity, cluster_state.service_levels.remaining_tasks(run, to_begin=start_overdue))
+            for number in list(run.open[: capacity + len(machine.exited_placements)]):
+                if remaining <= 0 or capacity <= 0 or (zone_headroom is not None and zone_headroom[machine.zone] <= 0):
                     break
                 if machine.exited_placements and (spec.job, number, attempt) in machine.exited_placements:
-                    continue  # it still lists this attempt as exited and would ignore its `run`
-                if careful and machine.kind is not None and machine.kind.gpus and not self._spare(spec, machine):
+                    continue  # the machine still lists this attempt as exited and would ignore a `run` for it
+                if (
+                    must_spare
+                    and machine.kind is not None
+                    and machine.kind.gpus
+                    and not self._leaves_accelerators_usable(spec, machine)
+                ):
                     break
                 cluster_state.plan_task(run, number, machine, now, protected=protected)
-                left -= 1
-                room -= 1
-                if zones is not None:
-                    zones = scoring.zone_room(spec, run.live)
-            if left <= 0 or not run.open:
+                remaining -= 1
+                capacity -= 1
+                if zone_headroom is not None:
+                    zone_headroom = scoring.zone_headroom(spec, run.live)
+            if remaining <= 0 or not run.open:
                 break
-        if late and run.places:
-            cluster_state.release_reservation(
-                run
-            )  # wherever it found its place: else what it kept would be kept until it is over
+        if start_overdue and run.places:
+            # On whichever machine the task was placed; otherwise the reservation would stay until the job has ended.
+            cluster_state.release_reservation(run)
             cluster_state.backlog.reorder(run, cluster_state.order_key(run, now))
-        cluster_state.backlog.update(run, now, fresh=late and bool(run.places))
+        cluster_state.backlog.update(run, now, fresh=start_overdue and bool(run.places))
 
-    def _prolonging(self, spec: JobSpec, now: timedelta) -> Callable[[Machine], bool]:
-        """Tells whether a dear machine would have to stay longer for a task of the job."""
-        ends = now + self._cluster_state.estimates.run_time(spec)
+    def _prolongs_expensive_use(self, spec: JobSpec, now: timedelta) -> Callable[[Machine], bool]:
+        """Returns a predicate: whether a task of the job would prolong the use of an expensive machine."""
+        expected_end = now + self._cluster_state.estimates.run_time(spec)
 
         def prolongs(machine: Machine) -> bool:
             kind = machine.kind
             if kind is None or not self._cluster_state.is_expensive(kind, machine.spot, spec):
                 return False
-            return ends > scoring.busy_until(machine, now)
+            return expected_end > scoring.busy_until(machine, now)
 
         return prolongs
 
-    def _beside_accelerated(self, spec: JobSpec, machines: list[Machine]) -> list[Machine]:
-        """Keeps routine work from taking the processors that free accelerators need.
+    def _filter_sparing_accelerators(self, spec: JobSpec, machines: list[Machine]) -> list[Machine]:
+        """Excludes machines where a task would take processors that free accelerators need.
 
-        Unless no machine without accelerators can do it at all.
+        Excludes none if no machine type without accelerators can run the job at all.
         """
         if not any(not kind.gpus and scoring.task_capacity(kind, spec) for kind in self._cluster_state.types.values()):
             return machines
-        return [machine for machine in machines if self._spare(spec, machine)]
+        return [machine for machine in machines if self._leaves_accelerators_usable(spec, machine)]
 
-    def _spare(self, spec: JobSpec, machine: Machine) -> bool:
-        """Room for the task besides what tasks on the machine's free accelerators would take."""
+    def _leaves_accelerators_usable(self, spec: JobSpec, machine: Machine) -> bool:
+        """Whether the task fits beside the tasks that could still use the machine's free accelerators."""
         kind = machine.kind
         if kind is None or machine.tasks_that_fit(spec) <= 0:
             return False
--- a/gingerspar/coordination/placement/scoring.py
+++ b/gingerspar/coordination/placement/scoring.py
@@ -1,4 +1,4 @@
-"""Where a task goes: pure functions over the ledger."""
+"""Ranking and choice of machines for tasks: functions that do not change the cluster state."""
 
 import math
 from collections import Counter
@@ -10,127 +10,133 @@
 from gingerspar.protocol.messages import JobSpec, MachineType, Priority
 
 
-def emptiness(machine: Machine, spec: JobSpec) -> float:
-    """How much of the machine is left once the task is there: the fullest machine has the least.
+def leftover_score(machine: Machine, spec: JobSpec) -> float:
+    """Weighted sum of the free shares of the machine's resources once the task is placed; 0 for a full machine.
 
-    Accelerators count for more, so work without them keeps off machines that have them.
+    Accelerators have the largest weight, so that jobs without accelerators avoid machines that have them.
     """
     kind = machine.kind
     assert kind is not None
     used = machine.used
-    left = (kind.cpus - used.cpus - spec.cpus) / max(kind.cpus, 1e-9)
-    left += 0.5 * (kind.memory_gb - used.memory_gb - spec.memory_gb) / max(kind.memory_gb, 1e-9)
+    leftover = (kind.cpus - used.cpus - spec.cpus) / max(kind.cpus, 1e-9)
+    leftover += 0.5 * (kind.memory_gb - used.memory_gb - spec.memory_gb) / max(kind.memory_gb, 1e-9)
     if kind.gpus:
-        left += 2.0 * (kind.gpus - used.gpus - spec.gpus) / kind.gpus
-    return left
+        leftover += 2.0 * (kind.gpus - used.gpus - spec.gpus) / kind.gpus
+    return leftover
 
 
-URGENT_FETCH = 0.6  # for each second that an urgent task would wait for its image
-ROUTINE_FETCH = 3.0  # for a fetch as long as the task itself
-ORDINARY_SURCHARGE = 1.5  # for work that may use spot machines: others need the ordinary ones
-COST_WEIGHT = 1.5  # for each doubling; how full a machine is counts from 0 to about 3
+# Score terms; the lowest score is best.
+URGENT_FETCH_PENALTY_PER_S = 0.6  # for each second that an urgent task would wait for its image
+ROUTINE_FETCH_PENALTY = 3.0  # for a fetch that takes as long as the task itself; less for a shorter one
+ORDINARY_MACHINE_PENALTY = 1.5  # for jobs that may use spot machines: other jobs need the ordinary machines
+COST_WEIGHT = 1.5  # per doubling of the value in `Scorer.cost`; `leftover_score` ranges from 0 to about 3
 
 
 def busy_until(machine: Machine, now: timedelta) -> timedelta:
-    """When the machine's present tasks will probably all have ended."""
-    ahead = machine.forecast()
-    latest = now + max(ahead.longest_ahead, ahead.longest * 0.2)
-    return latest if ahead.last_end is None else max(latest, ahead.last_end)
+    """Estimated time at which all present tasks of the machine have ended."""
+    forecast = machine.forecast()
+    latest = now + max(forecast.longest_ahead, forecast.longest * 0.2)
+    return latest if forecast.last_end is None else max(latest, forecast.last_end)
 
 
 def fetch_time(machine: Machine, spec: JobSpec) -> timedelta:
-    """How long the task would wait for its image there; images fetched at once share the rate."""
+    """How long the task would wait for its image on the machine; concurrent fetches share the fetch rate."""
     if machine.kind is None or not spec.image or spec.image in machine.images:
         return timedelta(0)
     fetching = machine.forecast().fetching
-    alone = spec.image_gb / max(machine.kind.fetch_gb_per_s, 1e-3)
+    unshared_s = spec.image_gb / max(machine.kind.fetch_gb_per_s, 1e-3)
     if spec.image in fetching:
-        return timedelta(seconds=0.6 * alone * len(fetching))
-    return timedelta(seconds=alone * (1 + len(fetching)))
+        return timedelta(seconds=0.6 * unshared_s * len(fetching))
+    return timedelta(seconds=unshared_s * (1 + len(fetching)))
 
 
 class Scorer:
-    """Ranks machines for one job: least is best.
+    """Ranks machines for the tasks of one job; the lowest rank is best.
 
-    The machine left fullest is taken, but first comes what the choice costs: a task
-    that keeps a machine longer than its present tasks do pays for that time, in units
-    of the task's price on the cheapest machine there is.
+    Prefers the machine that the task leaves fullest, but the cost of the choice weighs more: a task that keeps a
+    machine in use longer than its present tasks do is charged for the extra time, in units of the task's price on
+    the cheapest machine type.
     """
 
     def __init__(self, spec: JobSpec, types: Mapping[str, MachineType], now: timedelta) -> None:
         self._spec = spec
         self._now = now
-        self._span = run_time(spec)
+        self._run_time = run_time(spec)
         costs = [
             cost_per_task(kind, spot, spec)
             for kind in types.values()
             for spot in (False, True)
             if spec.spot or not spot
         ]
-        self._cheapest = max(min(costs, default=1.0), 1e-9)
+        self._min_task_cost = max(min(costs, default=1.0), 1e-9)
 
     def cost(self, machine: Machine) -> float:
+        """Score term for the time that a task would keep the machine in use beyond its present tasks."""
         assert machine.kind is not None
-        longer = self._now + self._span - busy_until(machine, self._now)
-        share = max(longer / self._span, 0.0)
-        return COST_WEIGHT * math.log2(1 + share * machine.kind.cost(machine.spot) / self._cheapest)
+        extra_time = self._now + self._run_time - busy_until(machine, self._now)
+        extra_share = max(extra_time / self._run_time, 0.0)
+        return COST_WEIGHT * math.log2(1 + extra_share * machine.kind.cost(machine.spot) / self._min_task_cost)
 
     def rank(self, machine: Machine) -> tuple[float, str]:
+        """Sort key: the score, then the machine name."""
         spec = self._spec
-        score = emptiness(machine, spec) + self.cost(machine)
+        score = leftover_score(machine, spec) + self.cost(machine)
         fetch = fetch_time(machine, spec)
         if fetch:
             if spec.priority.rank <= Priority.HIGH.rank:
-                score += URGENT_FETCH * fetch.total_seconds()
+                score += URGENT_FETCH_PENALTY_PER_S * fetch.total_seconds()
             else:
-                score += ROUTINE_FETCH * min(fetch / self._span, 1.0)
+                score += ROUTINE_FETCH_PENALTY * min(fetch / self._run_time, 1.0)
         if spec.spot and not machine.spot:
-            score += ORDINARY_SURCHARGE
+            score += ORDINARY_MACHINE_PENALTY
         return (score, machine.name)
 
 
-def zone_room(spec: JobSpec, others: Iterable[Placement]) -> Mapping[str, int] | None:
-    """Tasks of the job that each zone may still take; None: no bound. A zone not named takes any.
+def zone_headroom(spec: JobSpec, placements: Iterable[Placement]) -> Mapping[str, int] | None:
+    """Number of tasks of the job that each zone may still take, also for zones that are not keys; None: no limit.
 
-    Counts what is still on machines, whatever its attempt.
+    ``placements`` are the job's tasks that are still on machines, of any attempt.
     """
     if not spec.one_zone and not spec.spread:
         return None
-    used = Counter(placement.machine.zone for placement in others)
+    used_by_zone = Counter(placement.machine.zone for placement in placements)
     if spec.one_zone:
-        return _OnlyZone(used)
-    return _HalfEach((spec.tasks + 1) // 2, used)
+        return _SingleZoneHeadroom(used_by_zone)
+    return _SpreadHeadroom((spec.tasks + 1) // 2, used_by_zone)
 
 
-class _OnlyZone(dict[str, int]):
-    """All tasks in one zone: the one where the others are, if there are any."""
+class _SingleZoneHeadroom(dict[str, int]):
+    """All tasks in one zone: the zone of the placed tasks, or any zone if there are none."""
 
-    def __init__(self, used: Counter[str]) -> None:
-        super().__init__({zone: (1_000_000 if len(used) == 1 else 0) for zone in used})
-        self._else = 0 if used else 1_000_000
+    def __init__(self, used_by_zone: Counter[str]) -> None:
+        super().__init__({zone: (1_000_000 if len(used_by_zone) == 1 else 0) for zone in used_by_zone})
+        self._default = 0 if used_by_zone else 1_000_000
 
     def __missing__(self, zone: str) -> int:
-        return self._else
+        return self._default
 
 
-class _HalfEach(dict[str, int]):
-    """At most half of the tasks, rounded up, in one zone."""
+class _SpreadHeadroom(dict[str, int]):
+    """At most half of the tasks, rounded up, in each zone."""
 
-    def __init__(self, half: int, used: Counter[str]) -> None:
-        super().__init__({zone: half - count for zone, count in used.items()})
-        self._else = half
+    def __init__(self, max_per_zone: int, used_by_zone: Counter[str]) -> None:
+        super().__init__({zone: max_per_zone - count for zone, count in used_by_zone.items()})
+        self._default = max_per_zone
 
     def __missing__(self, zone: str) -> int:
-        return self._else
+        return self._default
 
 
 def ranked(machines: Sequence[Machine], scorer: Scorer) -> list[Machine]:
-    """The machine left fullest first. A machine that takes one task is left fuller, so it takes all it can."""
+    """Machines by rank, best first.
+
+    A task leaves its machine fuller, so the best machine stays the best until it takes no more tasks.
+    """
     return sorted(machines, key=scorer.rank) if len(machines) > 1 else list(machines)
 
 
-def choose_all(spec: JobSpec, machines: Sequence[Machine], count: int, scorer: Scorer) -> list[Machine] | None:
-    """A machine for each of ``count`` tasks at once, or None."""
+def choose_machines(spec: JobSpec, machines: Sequence[Machine], count: int, scorer: Scorer) -> list[Machine] | None:
+    """Chooses a machine for each of ``count`` tasks; returns None unless all of them fit."""
     if spec.one_zone:
         best: list[Machine] | None = None
         best_score = float("inf")
@@ -145,16 +151,16 @@
 
 
 def _fill(
-    spec: JobSpec, machines: Sequence[Machine], count: int, most_per_zone: int, scorer: Scorer
+    spec: JobSpec, machines: Sequence[Machine], count: int, max_per_zone: int, scorer: Scorer
 ) -> list[Machine] | None:
     if sum(machine.tasks_that_fit(spec) for machine in machines) < count:
-        return None  # not worth ranking them
+        return None  # saves ranking the machines
     found: list[Machine] = []
-    zones: Counter[str] = Counter()
+    count_by_zone: Counter[str] = Counter()
     for machine in ranked(machines, scorer):
-        take = min(machine.tasks_that_fit(spec), count - len(found), most_per_zone - zones[machine.zone])
-        found += [machine] * max(take, 0)
-        zones[machine.zone] += max(take, 0)
+        count_here = min(machine.tasks_that_fit(spec), count - len(found), max_per_zone - count_by_zone[machine.zone])
+        found += [machine] * max(count_here, 0)
+        count_by_zone[machine.zone] += max(count_here, 0)
         if len(found) == count:
             return found
     return None
@@ -165,7 +171,7 @@
     "Scorer",
     "allows",
     "busy_until",
-    "choose_all",
+    "choose_machines",
     "cost_per_task",
     "fetch_time",
     "ranked",
--- a/gingerspar/coordination/placement/team_limits.py
+++ b/gingerspar/coordination/placement/team_limits.py
@@ -1,4 +1,4 @@
-"""Room within a team's limit for its gangs, which need much of it at once."""
+"""Reservation of capacity within a team's limit for its gangs, which need much of it at once."""
 
 import logging
 from datetime import timedelta
@@ -7,7 +7,7 @@
 from gingerspar.coordination.cluster.job_runs import JobRun
 from gingerspar.coordination.cluster.machine import Placement
 from gingerspar.coordination.placement.gang_reservation import (
-    PREEMPT_AFTER,
+    RESERVATION_DELAY,
     RESERVATION_PAUSE,
     RESERVATION_RETRY_INTERVAL,
     RESERVATION_TIMEOUT,
@@ -18,91 +18,103 @@
 
 log = logging.getLogger(__name__)
 
-# So long what ends by itself is waited for. Without, urgent gangs threw away 5,883 of 12,405 tasks that had started,
-# most of them of 25 s (vatuloa-grep-hunt calm to 230 s, one team limited to 8,000 processors).
-STOP_AFTER = timedelta(seconds=5)
+# A gang waits this long for tasks of its team to end by themselves before it preempts any. Without this wait, urgent
+# gangs discarded 5,883 of 12,405 started tasks, most of them of 25 s (vatuloa-grep-hunt calm to 230 s, one team
+# limited to 8,000 processors).
+LIMIT_PREEMPTION_DELAY = timedelta(seconds=5)
 
 
 class TeamLimitReservations:
-    """Keeps for a gang what its team's tasks leave of the limit, and stops less urgent ones of them.
+    """Reserves the rest of a team's limit for one of its gangs, and preempts lower-priority tasks of the team.
 
-    Tasks of arrays took piece by piece what ended: half of the urgent gangs waited for over a minute while their team's
-    routine work went on (bench/leader_load.py --limit 9000).
+    Without a reservation, array tasks took the headroom bit by bit as tasks ended: half of the urgent gangs waited for
+    over a minute while their team's routine work went on (bench/leader_load.py --limit 9000).
     """
 
     def __init__(self, cluster_state: ClusterState, gang_reservations: GangReservations) -> None:
         self._cluster_state = cluster_state
         self._gang_reservations = gang_reservations
-        self._first: dict[str, JobRun] = {}  # by team: the gang that comes first of those that wait for its limit
-        self._refused: dict[str, tuple[float, float]] = {}  # by team: what a run needed that found less left
+        self._first_gang_by_team: dict[str, JobRun] = {}  # the gang that the headroom is reserved for
+        self._min_refused_by_team: dict[str, tuple[float, float]] = {}  # smallest demand refused in this pass
 
-    def begin_pass(self) -> None:
-        """To be called at the beginning of each pass."""
-        self._first, self._refused = {}, {}
+    def start_pass(self) -> None:
+        """Clears the state of the previous pass; to be called at the start of each pass."""
+        self._first_gang_by_team, self._min_refused_by_team = {}, {}
 
     def is_blocked(self, run: JobRun) -> bool:
-        """Whether no look at the run is needed to know that its team's limit leaves it nothing.
+        """Whether the run is already known not to fit into its team's limit, so that it needs no check.
 
-        Within a pass the limit leaves less and less. Each gang is looked at all the same: one that has had its time
-        gives way to the next.
+        Headroom only shrinks within a pass. Gangs are checked nevertheless, because a gang whose reservation has
+        timed out gives way to the next.
         """
         if self.is_reserved_for_other(run):
             return True
-        refused = self._refused.get(run.spec.team)
-        return not run.is_gang and refused is not None and run.demand[0] >= refused[0] and run.demand[1] >= refused[1]
+        min_refused = self._min_refused_by_team.get(run.spec.team)
+        return (
+            not run.is_gang
+            and min_refused is not None
+            and run.demand[0] >= min_refused[0]
+            and run.demand[1] >= min_refused[1]
+        )
 
     def record_refusal(self, run: JobRun) -> None:
-        """The run has found less left than it needs."""
-        least = self._refused.get(run.spec.team)
-        if least is None or (run.demand[0] <= least[0] and run.demand[1] <= least[1]):
-            self._refused[run.spec.team] = run.demand
+        """Records that the team's headroom is too small for the run."""
+        min_refused = self._min_refused_by_team.get(run.spec.team)
+        if min_refused is None or (run.demand[0] <= min_refused[0] and run.demand[1] <= min_refused[1]):
+            self._min_refused_by_team[run.spec.team] = run.demand
 
     def is_reserved_for_other(self, run: JobRun) -> bool:
-        """Whether what is left of its team's limit is kept for a gang that goes before it."""
-        return self._first.get(run.spec.team, run) is not run
+        """Whether its team's headroom is reserved for a gang ahead of it."""
+        return self._first_gang_by_team.get(run.spec.team, run) is not run
 
     def reserve(self, run: JobRun, now: timedelta) -> None:
-        """The gang, not in vain, finds less left than it needs. What comes after it takes nothing for a while."""
+        """Reserves the team's headroom for a gang that does not fit into it, unless the gang can never run.
+
+        Until the reservation ends, runs behind the gang get nothing. After ``LIMIT_PREEMPTION_DELAY``,
+        lower-priority tasks of the team are preempted.
+        """
         if self._cluster_state.pool.unsettled.names:
-            return  # unsettled machines count as full of the team's work: that passes by itself
+            return  # unsettled machines count as full of the team's tasks only until they have reported
         if run.spec.team not in self._cluster_state.teams:
-            return  # it is not in the settings any more: it can't run
+            return  # the team is no longer in the settings: the gang can't run
         cpus, gpus = self._cluster_state.team_shortfall(run.spec)
         used = self._cluster_state.usage[run.spec.team]
         if cpus > used.cpus or gpus > used.gpus:
-            return  # the limit was lowered since: it can never run
-        if run.waiting_since is None or now - run.waiting_since < PREEMPT_AFTER:
+            return  # the limit has been lowered: the gang can never run
+        if run.waiting_since is None or now - run.waiting_since < RESERVATION_DELAY:
             return
         if run.limit_reserved_since is None:
             run.limit_reserved_since = now
-        kept = now - run.limit_reserved_since
-        if kept > RESERVATION_TIMEOUT and self._cluster_state.first_overdue_gang(now) is not run:
-            if kept < RESERVATION_TIMEOUT + RESERVATION_PAUSE:
-                return  # it had its time: others must not starve for it
+        reserved_for = now - run.limit_reserved_since
+        if reserved_for > RESERVATION_TIMEOUT and self._cluster_state.first_overdue_gang(now) is not run:
+            if reserved_for < RESERVATION_TIMEOUT + RESERVATION_PAUSE:
+                return  # its reservation timed out: other runs must not starve
             run.limit_reserved_since = now
-        self._first[run.spec.team] = run
-        if kept >= STOP_AFTER and (
+        self._first_gang_by_team[run.spec.team] = run
+        if reserved_for >= LIMIT_PREEMPTION_DELAY and (
             run.preemption_checked_at is None or now - run.preemption_checked_at >= RESERVATION_RETRY_INTERVAL
         ):
             run.preemption_checked_at = now
             if self._gang_reservations.fits_if_empty(run):
-                self._stop_less_urgent(run, now)
+                self._preempt_lower_priority(run, now)
 
-    def _stop_less_urgent(self, run: JobRun, now: timedelta) -> None:
-        """As many of the team's less urgent tasks as make the gang fit, what loses least first; or none."""
+    def _preempt_lower_priority(self, run: JobRun, now: timedelta) -> None:
+        """Preempts as many lower-priority tasks of the team as the gang needs, cheapest first; none if not enough."""
         spec = run.spec
-        theirs = [
+        team_placements = [
             placement
             for other in self._cluster_state.runs.values()
             if other.spec.team == spec.team and other.places
             for placement in other.live
         ]
         cpus, gpus = self._cluster_state.team_shortfall(spec)
-        for placement in theirs:
+        for placement in team_placements:
             if placement.stop_grace is not None:
                 cpus, gpus = cpus - placement.spec.cpus, gpus - placement.spec.gpus
         victims = [
-            placement for placement in theirs if placement.stop_grace is None and placement.rank > spec.priority.rank
+            placement
+            for placement in team_placements
+            if placement.stop_grace is None and placement.rank > spec.priority.rank
         ]
         victims.sort(key=lambda placement: (lost_work(placement, now), placement.name))
         chosen: list[Placement] = []
@@ -114,6 +126,6 @@
                 cpus, gpus = cpus - victim.spec.cpus, gpus - victim.spec.gpus
         if cpus > 0 or gpus > 0 or not chosen:
             return
-        log.info("team %s is at its limit: stopping %d tasks for %s", spec.team, len(chosen), spec.job)
+        log.info("team %s is at its limit: preempting %d tasks for %s", spec.team, len(chosen), spec.job)
         for victim in chosen:
             preempt(self._cluster_state, victim, now)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -153,7 +153,7 @@
 
 def test_a_long_pass_stops_and_goes_on_in_order() -> None:
     fleet = Fleet()
-    jobs = 3 * placer.MOST_LOOKS // MACHINES
+    jobs = 3 * placer.MAX_MACHINE_CHECKS // MACHINES
     for number in range(1, jobs + 1):
         fleet.job(number, 1)
     fleet.dispatcher.place_tasks(NOW)
--- a/tests/test_start_deadline.py
+++ b/tests/test_start_deadline.py
@@ -182,6 +182,6 @@
     cluster_state.reserve(late, {first: 1}, now)
     for placement in list(second.live.values()):
         cluster_state.task_exited(placement, now)
-    rush.dispatcher._placer._place_tasks(late, [second], 1, now, late=True)
+    rush.dispatcher._placer._place_tasks(late, [second], 1, now, start_overdue=True)
     assert [placement.machine for placement in late.live] == [second]
     assert not late.reserved
