--- a/gingerspar/coordination/jobs/claims.py
+++ b/gingerspar/coordination/jobs/claims.py
@@ -1,8 +1,8 @@
-"""A claimant: claims pending records, writes results, releases what it can't serve.
+"""Claims pending job records, writes task results and releases claims that this node cannot serve.
 
-Every write names the session key's version and the record's version, so a write
-that is applied late, after the session or the claim is over, fails (the late-result
-table of the write-up).
+Every write is conditional on the version of the session key and on the version of
+the record. A write that is applied late, after the session or the claim has ended,
+therefore fails (see the late-result table of the write-up).
 """
 
 import asyncio
@@ -28,25 +28,29 @@
 
 log = logging.getLogger(__name__)
 
-CLAIM_BY = timedelta(seconds=90)  # after its submission, whatever its team has claimed
-LEFT_OVER = timedelta(seconds=1)  # a record claimable for so long is claimed by whoever's turn it is
-NOTHING = timedelta(0)
-ROUNDING = 1e-6  # of sums that are added to and taken from
-NEXT_TURN = timedelta(seconds=3)  # ... and by the next one after so long
-UNREACHABLE = timedelta(seconds=4)  # a claimant cut off from the dispatcher releases its claims
+# A job older than this is claimed even if its team's limit is already used up by claims.
+CLAIM_DEADLINE = timedelta(seconds=90)
+# A record that has been claimable for this long may be claimed by a node that did not accept it.
+FALLBACK_CLAIM_DELAY = timedelta(seconds=1)
+ZERO = timedelta(0)
+ROUNDING_TOLERANCE = 1e-6  # rounding error of totals after many additions and subtractions
+# Each further node in the record's fallback order waits this much longer than the one before it.
+FALLBACK_CLAIM_INTERVAL = timedelta(seconds=3)
+# A claimant that has not reached the dispatcher for this long releases its claims.
+RELEASE_AFTER = timedelta(seconds=4)
 
 
 class RecordChange(msgspec.Struct):
-    """A new version of a record, to be written."""
+    """A new version of a job record that is to be written."""
 
     job: str
-    base_version: int  # version it replaces
+    base_version: int  # the version that it replaces
     record: JobRecord
-    chunks: list[tuple[str, msgspec.Raw]] = []
+    chunks: list[tuple[str, msgspec.Raw]] = []  # keys and values of the finished-task chunks to write with it
 
 
 def claimed(entry: Versioned, claimant: records.Claimant, term: int) -> JobRecord:
-    """Pending to running: the claim raises the attempt."""
+    """The record with a new claim: pending becomes running, and the attempt goes up by one."""
     record = entry.record
     return msgspec.structs.replace(
         record,
@@ -59,117 +63,127 @@
 
 
 def released(entry: Versioned) -> JobRecord:
-    """Running to pending, the attempt as it is."""
+    """The record without its claim: running becomes pending, and the attempt is unchanged."""
     return msgspec.structs.replace(entry.record, status=JobStatus.PENDING, claimant=None)
 
 
 def cancelled(entry: Versioned) -> JobRecord:
+    """The final record of a cancelled job, without claimant and finished tasks."""
     return msgspec.structs.replace(entry.record, status=JobStatus.CANCELLED, claimant=None, finished="", spilled=False)
 
 
 def with_results(entry: Versioned, tasks: set[int], value_bytes: int) -> RecordChange | None:
-    """The record with newly finished tasks; done only once all are. None: nothing new."""
+    """The record with newly finished tasks, or None if it shows all of them already.
+
+    The job becomes done only once all its tasks are finished; a service never does.
+    """
     record = entry.record
     finished = entry.finished.copy()
-    new = [number for number in tasks if finished.add(number)]
-    if not new:
+    new_tasks = [number for number in tasks if finished.add(number)]
+    if not new_tasks:
         return None
     if finished.full and record.spec.shape is not Shape.SERVICE:
-        over = msgspec.structs.replace(record, status=JobStatus.DONE, claimant=None, finished="", spilled=False)
-        return RecordChange(record.spec.job, entry.version, over)
+        done = msgspec.structs.replace(record, status=JobStatus.DONE, claimant=None, finished="", spilled=False)
+        return RecordChange(record.spec.job, entry.version, done)
     if not records.must_spill(record.spec.tasks, value_bytes):
         return RecordChange(record.spec.job, entry.version, msgspec.structs.replace(record, finished=finished.text()))
-    step = records.chunk_bytes(value_bytes)
+    chunk_size = records.chunk_bytes(value_bytes)
     chunks = [
         (
             records.finished_key(record.spec.job, chunk),
-            records.pack(records.ChunkRecord(finished.text(chunk * step, step))),
+            records.pack(records.ChunkRecord(finished.text(chunk * chunk_size, chunk_size))),
         )
-        for chunk in sorted({number // (8 * step) for number in new})
+        for chunk in sorted({number // (8 * chunk_size) for number in new_tasks})
     ]
     return RecordChange(record.spec.job, entry.version, msgspec.structs.replace(record, spilled=True), chunks)
 
 
 class ClaimedResources:
-    """What claimed, unfinished work of each team and priority takes in all; kept in step, record by record."""
+    """Total processors and accelerators of claimed, unfinished tasks by team and priority.
+
+    The totals are updated with each change of a record.
+    """
 
     def __init__(self) -> None:
-        self._sums: dict[tuple[str, int], tuple[float, float]] = {}
+        # (team, priority rank) -> (processors, accelerators)
+        self._totals: dict[tuple[str, int], tuple[float, float]] = {}
+        # job -> what it contributes: (team, priority rank), processors, accelerators
         self._jobs: dict[str, tuple[tuple[str, int], float, float]] = {}
-        self._overdue: set[str] = set()
+        self._overdue: set[str] = set()  # jobs that count with one task only
 
-    def see(self, job: str, entry: Versioned | None, *, overdue: bool = False) -> None:
-        """A new version of a record; None: the job is over.
+    def update_job(self, job: str, entry: Versioned | None, *, overdue: bool = False) -> None:
+        """Counts the new version of a job's record; None means that the job has ended.
 
-        One that is ``overdue`` when it is first seen claimed counts with one task: it was claimed to begin,
-        and must not keep all others of its team from being claimed.
+        A job that is ``overdue`` at the first update that shows it claimed counts with one task: it was
+        claimed past the limit so that it can start, and must not block claims of its team's other jobs.
         """
-        known = self._jobs.pop(job, None)
-        if known is not None:
-            self._add(known[0], -known[1], -known[2])
+        previous = self._jobs.pop(job, None)
+        if previous is not None:
+            self._add(previous[0], -previous[1], -previous[2])
         if entry is None or entry.record.status is not JobStatus.RUNNING:
             self._overdue.discard(job)
             return
-        if overdue and known is None:
+        if overdue and previous is None:
             self._overdue.add(job)
-        cpus, gpus = _left(entry)
-        part = 1 / max(entry.record.spec.tasks - len(entry.finished), 1) if job in self._overdue else 1.0
-        self._jobs[job] = (_whose(entry), cpus * part, gpus * part)
+        cpus, gpus = _remaining_resources(entry)
+        fraction = 1 / max(entry.record.spec.tasks - len(entry.finished), 1) if job in self._overdue else 1.0
+        self._jobs[job] = (_team_and_rank(entry), cpus * fraction, gpus * fraction)
         self._add(*self._jobs[job])
 
-    def _add(self, whose: tuple[str, int], cpus: float, gpus: float) -> None:
-        sums = self._sums.get(whose, (0.0, 0.0))
-        self._sums[whose] = (sums[0] + cpus, sums[1] + gpus)
+    def _add(self, key: tuple[str, int], cpus: float, gpus: float) -> None:
+        total = self._totals.get(key, (0.0, 0.0))
+        self._totals[key] = (total[0] + cpus, total[1] + gpus)
 
-    def with_more(self) -> "ClaimedResources":
-        """A copy of the sums, to which what is about to be claimed is added."""
-        found = ClaimedResources()
-        found._sums = dict(self._sums)
-        return found
+    def copy_totals(self) -> "ClaimedResources":
+        """A copy of the totals alone, to which the claims of the next write can be added."""
+        copy = ClaimedResources()
+        copy._totals = dict(self._totals)
+        return copy
 
     def add(self, entry: Versioned) -> None:
-        self._add(_whose(entry), *_left(entry))
+        """Adds a record that is about to be claimed."""
+        self._add(_team_and_rank(entry), *_remaining_resources(entry))
 
     def over_limit(self, teams: dict[str, TeamFacts], entry: Versioned) -> bool:
-        """True if claims of the same or a higher priority already use up the team's limit."""
+        """True if the team's claims of the same or a higher priority already use up its limit."""
         spec = entry.record.spec
         team = teams.get(spec.team)
         if team is None or not (team.cpus_max or team.gpus_max):
             return False
         cpus = gpus = 0.0
         for rank in range(spec.priority.rank + 1):
-            sums = self._sums.get((spec.team, rank))
-            if sums is not None:
-                cpus, gpus = cpus + sums[0], gpus + sums[1]
+            total = self._totals.get((spec.team, rank))
+            if total is not None:
+                cpus, gpus = cpus + total[0], gpus + total[1]
         return bool(
-            (team.cpus_max and spec.cpus and cpus >= team.cpus_max - ROUNDING)
-            or (team.gpus_max and spec.gpus and gpus >= team.gpus_max - ROUNDING)
+            (team.cpus_max and spec.cpus and cpus >= team.cpus_max - ROUNDING_TOLERANCE)
+            or (team.gpus_max and spec.gpus and gpus >= team.gpus_max - ROUNDING_TOLERANCE)
         )
 
 
-def _whose(entry: Versioned) -> tuple[str, int]:
+def _team_and_rank(entry: Versioned) -> tuple[str, int]:
     return (entry.record.spec.team, entry.record.spec.priority.rank)
 
 
-def _left(entry: Versioned) -> tuple[float, float]:
-    """Processors and accelerators that its unfinished tasks take."""
+def _remaining_resources(entry: Versioned) -> tuple[float, float]:
+    """Processors and accelerators of the job's unfinished tasks."""
     spec = entry.record.spec
-    left = spec.tasks - len(entry.finished)
-    return left * spec.cpus, left * spec.gpus
+    remaining = spec.tasks - len(entry.finished)
+    return remaining * spec.cpus, remaining * spec.gpus
 
 
 class PendingResults:
-    """Newly finished tasks of one job that its record doesn't show yet."""
+    """Finished tasks of one job that its record does not show yet."""
 
     __slots__ = ("since", "tasks")
 
     def __init__(self, since: timedelta) -> None:
         self.tasks: set[int] = set()
-        self.since = since
+        self.since = since  # when the wait started; each new version of the record restarts it
 
 
 class ClaimManager:
-    """Runs in every node."""
+    """Claims, results and releases of one node; every node runs one."""
 
     def __init__(
         self,
@@ -190,67 +204,70 @@
         self._teams = teams
         self._settings = settings
         self._job_order = job_order
-        self._pending: SortedDict[tuple[int, float, float, str], str] = SortedDict()
-        self._orders: dict[str, tuple[int, float, float, str]] = {}
-        self._since: dict[str, timedelta] = {}
-        self._accepted: set[str] = set()  # by this node: it claims them at once
-        self._results: dict[str, PendingResults] = {}
-        self._reclaims: dict[str, int] = {}
-        self._held = ClaimedResources()
+        # Jobs that can be claimed, in the order in which they are claimed, and the sort key of each.
+        self._pending_jobs: SortedDict[tuple[int, float, float, str], str] = SortedDict()
+        self._order_keys: dict[str, tuple[int, float, float, str]] = {}
+        self._claimable_since: dict[str, timedelta] = {}
+        self._accepted: set[str] = set()  # jobs that this node accepted: it claims them without delay
+        self._pending_results: dict[str, PendingResults] = {}
+        self._reclaim_requests: dict[str, int] = {}  # job -> attempt that needs a successor
+        self._claimed_resources = ClaimedResources()
         self._wake = asyncio.Event()
         self._result_wake = asyncio.Event()
-        self._reached = clock.now()
-        self.dispatcher_reachable: Callable[[], bool] = lambda: True  # whether the dispatcher can be handed work
+        self._dispatcher_reached_at = clock.now()
+        self.dispatcher_reachable: Callable[[], bool] = lambda: True  # whether claimed jobs can be handed to it
         self.hand_over: Callable[[str, int, JobRecord], None] = lambda job, version, record: None
         view.on_job.append(self._job_changed)
 
     def _job_changed(self, job: str) -> None:
         entry = self._view.jobs.get(job)
-        self._held.see(job, entry, overdue=entry is not None and self._overdue(entry))
+        self._claimed_resources.update_job(job, entry, overdue=entry is not None and self._is_overdue(entry))
         if entry is not None and entry.record.status is JobStatus.PENDING:
-            if job not in self._orders:
-                order = self._job_order.key(entry.record)
-                self._orders[job] = order
-                self._pending[order] = job
-                self._since[job] = self._clock.now()
+            if job not in self._order_keys:
+                order_key = self._job_order.key(entry.record)
+                self._order_keys[job] = order_key
+                self._pending_jobs[order_key] = job
+                self._claimable_since[job] = self._clock.now()
                 self._wake.set()
             return
-        pending = self._results.get(job)
+        pending = self._pending_results.get(job)
         if entry is not None and pending is not None:
             pending.tasks = {number for number in pending.tasks if number not in entry.finished}
             pending.since = self._clock.now()
-        order_then = self._orders.pop(job, None)
-        if order_then is not None:
-            self._pending.pop(order_then, None)
-            self._since.pop(job, None)
+        previous_key = self._order_keys.pop(job, None)
+        if previous_key is not None:
+            self._pending_jobs.pop(previous_key, None)
+            self._claimable_since.pop(job, None)
         if entry is None:
             self._accepted.discard(job)
-            self._results.pop(job, None)
-            self._reclaims.pop(job, None)
+            self._pending_results.pop(job, None)
+            self._reclaim_requests.pop(job, None)
 
     def add_accepted(self, job: str) -> None:
+        """Marks a job as accepted by this node, which then claims it without the fallback delay."""
         self._accepted.add(job)
         self._wake.set()
 
     def add_finished(self, jobs: dict[str, list[int]]) -> None:
-        """From the dispatcher; said again until the record shows it."""
+        """Adds finished tasks by job, as the dispatcher reports them; it repeats them until the record shows them."""
         now = self._clock.now()
         for job, tasks in jobs.items():
             entry = self._view.jobs.get(job)
             if entry is None:
                 continue
-            pending = self._results.get(job)
+            pending = self._pending_results.get(job)
             if pending is None:
-                pending = self._results[job] = PendingResults(now)
+                pending = self._pending_results[job] = PendingResults(now)
             pending.tasks.update(number for number in tasks if number not in entry.finished)
             self._result_wake.set()
 
     def reclaim(self, job: str, attempt: int) -> None:
-        """From the dispatcher: a new attempt is needed, unless there is one already."""
-        self._reclaims[job] = attempt
+        """Requests, for the dispatcher, a claim with a later attempt; ignored if the record shows one already."""
+        self._reclaim_requests[job] = attempt
         self._wake.set()
 
     async def run_claims(self) -> None:
+        """Writes claims while the dispatcher is reachable; releases them after ``RELEASE_AFTER`` without it."""
         while True:
             if await wait_for_event(self._wake, timedelta(seconds=0.5)):
                 await asyncio.sleep(0.005)
@@ -259,47 +276,51 @@
                 continue
             now = self._clock.now()
             if self.dispatcher_reachable():
-                self._reached = now
+                self._dispatcher_reached_at = now
                 await self._write(self._next_reclaims(), Urgency.CLAIM, hand_over=True)
                 while batch := self._next_claims(now):
                     if not await self._write(batch, Urgency.CLAIM, hand_over=True):
                         break
-            elif now - self._reached > UNREACHABLE:
+            elif now - self._dispatcher_reached_at > RELEASE_AFTER:
                 await self._write(self._next_releases(), Urgency.BACKGROUND)
 
     def _next_claims(self, now: timedelta) -> list[RecordChange]:
         claimant, term = self._session.claimant, self._view.term
-        if claimant is None or term is None or not self._pending:
+        if claimant is None or term is None or not self._pending_jobs:
             return []
         batch: list[RecordChange] = []
-        most = min(self._settings.claim_batch, self._client.most_puts)
-        held = self._held.with_more()
+        max_claims = min(self._settings.claim_batch, self._client.most_puts)
+        claimed_resources = self._claimed_resources.copy_totals()
         nodes = sorted(self._view.nodes)
-        for job in self._pending.values():
+        for job in self._pending_jobs.values():
             entry = self._view.jobs[job]
-            # One that has waited long is claimed all the same, so that it can begin: the leader keeps the limit, task
-            # by task. Large ones come last here, and waited for minutes while their team had all that it may have
-            # claimed (kerlann-fonts-ops inc-e135).
-            overdue = self._overdue(entry)
-            if not overdue and held.over_limit(self._teams, entry):
-                self._since[job] = now  # else all nodes would claim it at once when the team has room
+            # An overdue job is claimed past the limit so that it can start; the leader enforces the limit task by task.
+            # Large jobs come last in this order, and waited for minutes while other claims used up their team's limit
+            # (kerlann-fonts-ops inc-e135).
+            overdue = self._is_overdue(entry)
+            if not overdue and claimed_resources.over_limit(self._teams, entry):
+                # Without this, all nodes would claim the job at the same time once the team is below its limit.
+                self._claimable_since[job] = now
                 continue
-            waited = now - self._since[job] - LEFT_OVER
-            if job in self._accepted or (waited >= NOTHING and waited >= NEXT_TURN * self._turn(job, nodes)):
+            waited = now - self._claimable_since[job] - FALLBACK_CLAIM_DELAY
+            if job in self._accepted or (
+                waited >= ZERO and waited >= FALLBACK_CLAIM_INTERVAL * self._fallback_position(job, nodes)
+            ):
                 if not overdue:
-                    held.add(entry)
+                    claimed_resources.add(entry)
                 batch.append(RecordChange(job, entry.version, claimed(entry, claimant, term[0].term)))
-                if len(batch) >= most:
+                if len(batch) >= max_claims:
                     break
         return batch
 
-    def _overdue(self, entry: Versioned) -> bool:
-        return self._clock.today().timestamp() - entry.record.submitted >= CLAIM_BY.total_seconds()
+    def _is_overdue(self, entry: Versioned) -> bool:
+        """True if the job has waited so long that it is claimed past its team's limit."""
+        return self._clock.today().timestamp() - entry.record.submitted >= CLAIM_DEADLINE.total_seconds()
 
-    def _turn(self, job: str, nodes: list[str]) -> int:
-        """This node's place among the live ones for a record that nobody else has claimed.
+    def _fallback_position(self, job: str, nodes: list[str]) -> int:
+        """This node's position among the live nodes in the order in which they may claim an unclaimed record.
 
-        Each record has an order of its own, so that the work of a node that is gone falls to all.
+        The order differs from record to record, so that the jobs of a failed node are spread over all others.
         """
         order = sorted(nodes, key=lambda node: zlib.crc32(f"{job} {node}".encode()))
         return order.index(self._node) if self._node in order else len(order)
@@ -307,30 +328,31 @@
     def _next_reclaims(self) -> list[RecordChange]:
         claimant, term = self._session.claimant, self._view.term
         batch: list[RecordChange] = []
-        for job, attempt in list(self._reclaims.items()):
+        for job, attempt in list(self._reclaim_requests.items()):
             entry = self._view.jobs.get(job)
             if entry is None or entry.record.claimant != claimant or entry.record.attempt > attempt:
-                del self._reclaims[job]
+                del self._reclaim_requests[job]
             elif claimant is not None and term is not None and len(batch) < self._client.most_puts:
-                del self._reclaims[job]
+                del self._reclaim_requests[job]
                 batch.append(RecordChange(job, entry.version, claimed(entry, claimant, term[0].term)))
         return batch
 
     def _next_releases(self) -> list[RecordChange]:
         claimant = self._session.claimant
-        mine = [
+        own_claims = [
             (job, entry)
             for job, entry in self._view.jobs.items()
             if claimant is not None and entry.record.claimant == claimant
         ]
         return [
             RecordChange(job, entry.version, released(entry))
-            for job, entry in mine[: min(self._settings.sweep_batch, self._client.most_puts)]
+            for job, entry in own_claims[: min(self._settings.sweep_batch, self._client.most_puts)]
         ]
 
     async def run_results(self) -> None:
+        """Writes finished tasks to the records of the jobs that this node has claimed."""
         while True:
-            # A finish that completes no job waits for others of its job, `result_delay` at most.
+            # Results that do not complete their job wait up to `result_delay` for further results of the same job.
             await wait_for_event(self._result_wake, timedelta(seconds=1))
             self._result_wake.clear()
             if self._session.claimant is None:
@@ -342,44 +364,48 @@
             await asyncio.sleep(self._settings.result_interval.total_seconds())
 
     def _next_results(self, now: timedelta) -> list[RecordChange]:
-        """One write per job with newly finished tasks, as many jobs as fit one transaction.
+        """One change for each job with newly finished tasks, for as many jobs as fit into one transaction.
 
-        Those that complete their job go first, then what has waited longest.
+        Changes that complete their job come first, then those that have waited longest.
         """
         claimant = self._session.claimant
         ready: list[tuple[bool, timedelta, str]] = []
-        for job, pending in list(self._results.items()):
+        for job, pending in list(self._pending_results.items()):
             entry = self._view.jobs.get(job)
             if entry is None or entry.record.claimant != claimant or claimant is None or not pending.tasks:
-                del self._results[job]
+                del self._pending_results[job]
                 continue
             completes = len(entry.finished) + len(pending.tasks) >= entry.record.spec.tasks
             if completes or now - pending.since >= self._settings.result_delay:
                 ready.append((not completes, pending.since, job))
         ready.sort()
         batch: list[RecordChange] = []
-        puts = 0
+        put_count = 0
         for _, _, job in ready:
-            change = with_results(self._view.jobs[job], self._results[job].tasks, self._client.value_bytes)
+            change = with_results(self._view.jobs[job], self._pending_results[job].tasks, self._client.value_bytes)
             if change is None:
-                del self._results[job]
+                del self._pending_results[job]
                 continue
-            if puts + 1 + len(change.chunks) > self._client.most_puts and batch:
+            if put_count + 1 + len(change.chunks) > self._client.most_puts and batch:
                 break
-            puts += 1 + len(change.chunks)
+            put_count += 1 + len(change.chunks)
             batch.append(change)
         return batch
 
     async def _write(self, batch: list[RecordChange], urgency: Urgency, *, hand_over: bool = False) -> bool:
-        """Commits the changes in one transaction; what it wrote is in the view at once."""
+        """Commits the changes in one transaction and applies them to the local view at once.
+
+        ``hand_over``: the changes are claims, which are passed on to the dispatcher. Returns False if nothing was
+        written or the outcome is unknown.
+        """
         term = self._view.term
         if not batch or term is None:
             return False
         session = self._session.condition()
         conditions = [session, *(KeyVersion(records.job_key(change.job), change.base_version) for change in batch)]
         if hand_over:
-            # A claim names the term it was made in: none is made for an older leader than
-            # the record says, so `first_term` tells who may have started its tasks.
+            # A claim records the term in which it was made. With this condition no claim is made for an
+            # older leader than the term record names, so `first_term` shows who may have started its tasks.
             conditions.append(KeyVersion(records.TERM, term[1]))
         puts: list[Put] = []
         for change in batch:
@@ -394,7 +420,7 @@
         except LeaseExpired:
             return False
         except (Unavailable, OutcomeUnknown) as error:
-            log.debug("write: %s", error)
+            log.debug("write failed: %s", error)
             await asyncio.sleep(0.1)
             self._wake.set()
             self._result_wake.set()
--- a/gingerspar/coordination/jobs/reconciler.py
+++ b/gingerspar/coordination/jobs/reconciler.py
@@ -1,4 +1,4 @@
-"""Returns lapsed claimants' records to pending, a capped number a sweep."""
+"""Returns claimed records to pending once their claimant's session has ended, a limited number in each sweep."""
 
 import asyncio
 import logging
@@ -15,26 +15,26 @@
 
 log = logging.getLogger(__name__)
 
-INTERVAL = timedelta(seconds=0.5)
-FRESH = timedelta(seconds=1)
+SWEEP_INTERVAL = timedelta(seconds=0.5)
+MAX_VIEW_AGE = timedelta(seconds=1)  # no sweep on an older view
 
 
-def lapsed(view: WatchedView, most: int) -> list[RecordChange]:
-    """Running records whose claimant's session is over; the attempt stays as it is."""
-    found = [
+def lapsed_claims(view: WatchedView, limit: int) -> list[RecordChange]:
+    """Releases of at most ``limit`` running records whose claimant's session has ended; the attempt is unchanged."""
+    entries = [
         entry
         for entry in view.jobs.values()
         if entry.record.status is JobStatus.RUNNING
         and entry.record.claimant is not None
         and not view.session_alive(entry.record.claimant)
     ]
-    # The most urgent ones first: they are claimed again in that order too.
-    found.sort(key=lambda entry: entry.record.order)
-    return [RecordChange(entry.record.spec.job, entry.version, released(entry)) for entry in found[:most]]
+    # The most urgent records come first, because they are claimed again in the same order.
+    entries.sort(key=lambda entry: entry.record.order)
+    return [RecordChange(entry.record.spec.job, entry.version, released(entry)) for entry in entries[:limit]]
 
 
 class Reconciler:
-    """Sweeps while this node is the dispatcher."""
+    """Releases lapsed claims while this node is the dispatcher."""
 
     def __init__(
         self, client: StateClient, view: WatchedView, session: Session, active: Callable[[], bool], batch: int
@@ -47,10 +47,10 @@
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(INTERVAL.total_seconds())
-            if not self._active() or self._session.claimant is None or self._view.age() > FRESH:
+            await asyncio.sleep(SWEEP_INTERVAL.total_seconds())
+            if not self._active() or self._session.claimant is None or self._view.age() > MAX_VIEW_AGE:
                 continue
-            batch = lapsed(self._view, self._batch)
+            batch = lapsed_claims(self._view, self._batch)
             if batch:
                 await self._sweep(batch)
 
@@ -63,7 +63,7 @@
         try:
             version = await self._client.commit(Transaction(conditions, [*puts]), Urgency.BACKGROUND)
         except (Conflict, LeaseExpired, Unavailable, OutcomeUnknown) as error:
-            log.debug("sweep: %r", error)
+            log.debug("sweep failed: %r", error)
             return
         for put in puts:
             self._view.apply(put.key, bytes(put.value), version)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -9,14 +9,14 @@
 
 from gingerspar.coordination.cluster.job_order import JobOrder
 from gingerspar.coordination.jobs.claims import (
-    CLAIM_BY,
+    CLAIM_DEADLINE,
     ClaimedResources,
     ClaimManager,
     RecordChange,
     claimed,
     with_results,
 )
-from gingerspar.coordination.jobs.reconciler import lapsed
+from gingerspar.coordination.jobs.reconciler import lapsed_claims
 from gingerspar.protocol import messages
 from gingerspar.protocol.messages import JobStatus, KeyVersion, Priority
 from gingerspar.protocol.settings import OperatorSettings, TeamFacts
@@ -108,7 +108,7 @@
         """The reconciler's write, made by B."""
         self.read(self.b._view)
         self.b._view.nodes.pop("A", None)
-        found = lapsed(self.b._view, 8)
+        found = lapsed_claims(self.b._view, 8)
         assert len(found) == 1
         assert self.write(self.b, found[0])
 
@@ -192,7 +192,7 @@
     world._put(records.job_key("wk-000002"), claim)
     world.read(world.a._view)
     world.a._teams = {"red": TeamFacts("red", cpus_max=16)}
-    waited = [10.0, CLAIM_BY.total_seconds() + 1]
+    waited = [10.0, CLAIM_DEADLINE.total_seconds() + 1]
     found = []
     for seconds in waited:
         entry = world.a._view.jobs["wk-000001"]
@@ -210,24 +210,24 @@
         return Versioned(JobRecord(spec, status), 1, records.TaskSet(spec.tasks))
 
     held = ClaimedResources()
-    held.see("wk-000001", entry(1, JobStatus.RUNNING, Pieces=4))
-    held.see("wk-000009", entry(9, JobStatus.PENDING, Pieces=9))
+    held.update_job("wk-000001", entry(1, JobStatus.RUNNING, Pieces=4))
+    held.update_job("wk-000009", entry(9, JobStatus.PENDING, Pieces=9))
     assert held.over_limit(teams, entry(2, JobStatus.PENDING))
     # Routine claims don't keep urgent work of the same team from being claimed.
     assert not held.over_limit(teams, entry(3, JobStatus.PENDING, Urgency=Priority.HIGH.value))
     small = entry(4, JobStatus.RUNNING, Pieces=2)
-    held.see("wk-000001", small)  # it has fewer unfinished tasks now, or it is over
+    held.update_job("wk-000001", small)  # it has fewer unfinished tasks now, or it is over
     assert not held.over_limit(teams, entry(5, JobStatus.PENDING))
-    more = held.with_more()
+    more = held.copy_totals()
     more.add(entry(6, JobStatus.PENDING, Pieces=2))
     assert more.over_limit(teams, entry(5, JobStatus.PENDING))
     assert not held.over_limit(teams, entry(5, JobStatus.PENDING))
     # What was claimed late, so that it can begin, counts with one task: the others are claimed as before.
-    held.see("wk-000007", entry(7, JobStatus.PENDING, Pieces=50), overdue=True)
-    held.see("wk-000007", entry(7, JobStatus.RUNNING, Pieces=50), overdue=True)
+    held.update_job("wk-000007", entry(7, JobStatus.PENDING, Pieces=50), overdue=True)
+    held.update_job("wk-000007", entry(7, JobStatus.RUNNING, Pieces=50), overdue=True)
     assert not held.over_limit(teams, entry(5, JobStatus.PENDING))
-    held.see("wk-000007", entry(7, JobStatus.RUNNING, Pieces=50), overdue=True)  # a result was written
-    held.see("wk-000007", None)
-    held.see("wk-000001", None)
-    assert held.with_more()._sums == {("red", Priority.NORMAL.rank): (0.0, 0.0)}
+    held.update_job("wk-000007", entry(7, JobStatus.RUNNING, Pieces=50), overdue=True)  # a result was written
+    held.update_job("wk-000007", None)
+    held.update_job("wk-000001", None)
+    assert held.copy_totals()._totals == {("red", Priority.NORMAL.rank): (0.0, 0.0)}
     assert claimed(small, Claimant("A", 1), 3).attempt == 1
