--- a/gingerspar/coordination/jobs/job_api.py
+++ b/gingerspar/coordination/jobs/job_api.py
@@ -1,8 +1,8 @@
-"""What users meet: submit, ask, cancel, health.
+"""The user-facing job API: submission, status, cancellation and health.
 
-Nothing is answered by guess: an unknown id is 404 only after a read sent after
-the question came, and what can't be decided now is 503 at once, with the time to
-come back.
+Every answer is based on confirmed state. An unknown job id gets 404 only after a read
+that was sent after the request arrived. A request that cannot be decided now gets 503
+at once, with a Retry-After time.
 """
 
 import asyncio
@@ -39,28 +39,33 @@
 
 log = logging.getLogger(__name__)
 
-MOST_WAITING = 400  # submissions queued before the door says 429
-TXN_BYTES = 56 * 1024  # of the 64 KiB a transaction may have
-QUESTION_STEP = timedelta(milliseconds=200)  # so often those are looked for that have waited too long
-POLL_WAIT = timedelta(seconds=1.6)  # users wait 2 s for an answer
-WRITE_WAIT = timedelta(seconds=3.5)  # ... and 5 s for a submission
-# How long a submission's transaction is waited for, time after time. A quarter of all had no answer on
-# bench/days/late-writes, and 0.58 of the submissions were accepted within a second.
-SAID_AGAIN = (timedelta(seconds=0.25), timedelta(seconds=0.5), timedelta(seconds=1.5))
-ALONE = timedelta(seconds=6)  # without the state service and all peers for so long: others may do better
-STATE_UNAVAILABLE_AFTER = timedelta(seconds=2.5)  # without a read for so long: no state service
+MAX_QUEUED_SUBMISSIONS = 400  # further submissions get 429
+MAX_TXN_BYTES = 56 * 1024  # of one transaction; the state service allows 64 KiB
+EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=200)  # between two checks for status requests past their deadline
+READ_TIMEOUT = timedelta(seconds=1.6)  # users wait 2 s for the answer to a status request
+WRITE_TIMEOUT = timedelta(seconds=3.5)  # users wait 5 s for the answer to a submission
+# Timeouts of the successive attempts to commit a submission's transaction. On bench/days/late-writes, a quarter
+# of all transactions had no answer, and 0.58 of the submissions were accepted within a second.
+COMMIT_TIMEOUTS = (timedelta(seconds=0.25), timedelta(seconds=0.5), timedelta(seconds=1.5))
+# A node without the state service and without any peer for this long reports itself unhealthy, because other
+# nodes may be able to serve its users.
+ISOLATED_UNHEALTHY_AFTER = timedelta(seconds=6)
+# The state service counts as unavailable once the last successful read was sent this long ago.
+STATE_UNAVAILABLE_AFTER = timedelta(seconds=2.5)
 
 
 def error_answer(status: int, text: str, retry_after: int | None = None) -> Answer:
+    """An answer with an error text; ``retry_after`` is in seconds."""
     headers = {} if retry_after is None else {"Retry-After": str(retry_after)}
     return Answer(status, messages.encode({"error": text}), headers)
 
 
-RECORD_UNREADABLE = error_answer(503, "the record is of a newer release", 5)  # never a guess, and never 404
+# The job exists, but its state cannot be read: neither a state nor 404 would be right.
+RECORD_UNREADABLE = error_answer(503, "the record is of a newer release", 5)
 
 
 def rejection_reason(spec: JobSpec, teams: dict[str, TeamFacts], types: dict[str, MachineType]) -> str | None:
-    """Why a job can never run, or None."""
+    """Why a job can never run, or None if it can."""
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team}"
@@ -75,7 +80,7 @@
 
 
 def fits_machine_type(spec: JobSpec, kind: MachineType) -> bool:
-    """Type, zone and size; not whether there is room now."""
+    """Whether type, zone and size of the machine suit a task; free capacity is not considered."""
     if spec.types is not None and kind.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone not in kind.zones:
@@ -88,20 +93,21 @@
 
     def __init__(self, record: JobRecord) -> None:
         self.record = record
+        # True: created by this submission. False: the job existed already. None: not known in time.
         self.answer: asyncio.Future[bool | None] = asyncio.get_running_loop().create_future()
 
 
-class _Question:
-    __slots__ = ("answer", "due", "job")
+class _StatusRequest:
+    __slots__ = ("answer", "deadline", "job")
 
-    def __init__(self, job: str, due: timedelta) -> None:
+    def __init__(self, job: str, deadline: timedelta) -> None:
         self.job = job
-        self.due = due
+        self.deadline = deadline
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
 
 class JobApi:
-    """Runs in every node."""
+    """Serves users' job requests; every node runs one."""
 
     def __init__(
         self, client: StateClient, view: WatchedView, claims: ClaimManager, clock: Clock, teams: dict[str, TeamFacts]
@@ -113,27 +119,28 @@
         self._teams = teams
         self._queue: deque[_Submission] = deque()
         self._queued = asyncio.Event()
-        self._questions: deque[_Question] = deque()  # in the order in which they came, so also in that of their ends
-        self._asked = asyncio.Event()
+        # In order of arrival, which is also the order of the deadlines.
+        self._status_requests: deque[_StatusRequest] = deque()
+        self._request_added = asyncio.Event()
         self.types: Callable[[], dict[str, MachineType]] = dict
         self.running: Callable[[str], int] = lambda job: 0
         self.peer_has_state: Callable[[], bool] = lambda: False
-        self.has_peer_contact: Callable[[], bool] = lambda: True  # or has none
+        self.has_peer_contact: Callable[[], bool] = lambda: True  # also true where the node has no peers
         self.notify_cancelled: Callable[[str, int, JobRecord], None] = lambda job, version, record: None
 
     # -- health ---------------------------------------------------------------
 
     def health(self) -> Answer:
-        """Unhealthy only where another node could do better, or where that can't be told for long.
+        """The health check: 503 only if another node can serve users better, or if that is unknown for too long.
 
-        A node without the state service and without any peer used to stay healthy, and its users were told
-        nothing for as long as its cut lasted. Where all are like that, users lose the 3 s after which the
-        load balancer takes a node up again, once.
+        A node without the state service and without contact to any peer used to stay healthy, and its users got
+        no useful answer for as long as the partition lasted. If all nodes are in that state, users lose, once, the
+        3 s after which the load balancer readmits a node.
         """
         if self._has_state():
             return Answer(200, b'{"ok":true}')
-        told = self._view.phase is Phase.FOLLOWING and not self.peer_has_state()
-        if told and (self.has_peer_contact() or self._view.age() < ALONE):
+        no_better_peer = self._view.phase is Phase.FOLLOWING and not self.peer_has_state()
+        if no_better_peer and (self.has_peer_contact() or self._view.age() < ISOLATED_UNHEALTHY_AFTER):
             return Answer(200, b'{"ok":true}')
         return error_answer(503, "no state service", 1)
 
@@ -143,6 +150,7 @@
     # -- submissions ----------------------------------------------------------
 
     async def submit(self, content: bytes) -> Answer:
+        """Accepts a job: 201 if it is new, 200 with its state if its id is known, otherwise an error answer."""
         try:
             body = messages.read_json(content)
         except Malformed as error:
@@ -151,26 +159,28 @@
         spec, refusal = self._check(body)
         if job is None:
             return refusal or error_answer(400, "Ref: not a job id")
-        known = self._view.status_of(job)
-        if known is not None and known.final:
-            return self._state(200, job, known)
+        known_status = self._view.status_of(job)
+        if known_status is not None and known_status.final:
+            return self._state_answer(200, job, known_status)
         if not self._has_state():
             return error_answer(503, "no state service", 1)
         if job in self._view.unreadable:
             return RECORD_UNREADABLE
-        if known is not None or spec is None:
-            # An accepted job's id wins over whatever is wrong with this body.
-            if not await self._view.barrier(POLL_WAIT):
+        if known_status is not None or spec is None:
+            # The id of an accepted job is answered with its state, even if this body is invalid.
+            if not await self._view.barrier(READ_TIMEOUT):
                 return error_answer(503, "no state service", 1)
-            known = self._view.status_of(job)
-            if known is not None:
-                return self._state(200, job, known)
+            known_status = self._view.status_of(job)
+            if known_status is not None:
+                return self._state_answer(200, job, known_status)
             return refusal or error_answer(503, "try again", 1)
-        ahead = len(self._queue) / self._client.write_rate
-        if len(self._queue) >= MOST_WAITING or ahead > WRITE_WAIT.total_seconds():
-            # It would not be committed before its user gives up: say so now, not then.
-            return error_answer(429, "too many submissions", max(1, math.ceil(ahead - WRITE_WAIT.total_seconds())))
-        return await self._accept(spec)
+        queue_delay_s = len(self._queue) / self._client.write_rate
+        if len(self._queue) >= MAX_QUEUED_SUBMISSIONS or queue_delay_s > WRITE_TIMEOUT.total_seconds():
+            # The submission would not be committed before its user gives up, so it is rejected at once.
+            return error_answer(
+                429, "too many submissions", max(1, math.ceil(queue_delay_s - WRITE_TIMEOUT.total_seconds()))
+            )
+        return await self._enqueue(spec)
 
     def _check(self, body: Any) -> tuple[JobSpec | None, Answer | None]:
         try:
@@ -184,117 +194,123 @@
         reason = rejection_reason(spec, self._teams, types)
         return (spec, None) if reason is None else (None, error_answer(422, reason))
 
-    async def _accept(self, spec: JobSpec) -> Answer:
+    async def _enqueue(self, spec: JobSpec) -> Answer:
         record = JobRecord(spec=spec, status=JobStatus.PENDING, submitted=self._clock.today().timestamp())
-        waiting = _Submission(record)
-        self._queue.append(waiting)
+        submission = _Submission(record)
+        self._queue.append(submission)
         self._queued.set()
         try:
-            fresh = await asyncio.wait_for(waiting.answer, WRITE_WAIT.total_seconds())
+            created = await asyncio.wait_for(submission.answer, WRITE_TIMEOUT.total_seconds())
         except TimeoutError:
-            fresh = None
-        if fresh is None:
+            created = None
+        if created is None:
             return error_answer(503, "not accepted yet", 1)
-        if fresh:
+        if created:
             log.debug("accepted %s %s %s tasks=%d", spec.job, spec.jobclass, spec.image, spec.tasks)
-            return self._state(201, spec.job, JobStatus.PENDING)
-        known = self._view.status_of(spec.job)
-        return self._state(200, spec.job, known) if known is not None else error_answer(503, "try again", 1)
+            return self._state_answer(201, spec.job, JobStatus.PENDING)
+        known_status = self._view.status_of(spec.job)
+        return (
+            self._state_answer(200, spec.job, known_status)
+            if known_status is not None
+            else error_answer(503, "try again", 1)
+        )
 
     async def run_submissions(self) -> None:
-        """Commits what has gathered, several records a transaction."""
+        """Commits the queued submissions, several records in each transaction."""
         while True:
             await self._queued.wait()
             batch: list[_Submission] = []
             size = 0
             while self._queue and len(batch) < self._client.most_puts:
                 size += len(records.pack(self._queue[0].record)) + 200
-                if batch and size > TXN_BYTES:
+                if batch and size > MAX_TXN_BYTES:
                     break
-                waiting = self._queue.popleft()
-                if not waiting.answer.done():
-                    batch.append(waiting)
+                submission = self._queue.popleft()
+                if not submission.answer.done():
+                    batch.append(submission)
             if not self._queue:
                 self._queued.clear()
             if batch:
                 await self._commit_submissions(batch)
 
     async def _commit_submissions(self, batch: list[_Submission]) -> None:
-        unique = {waiting.record.spec.job: waiting for waiting in batch}
-        for tries, patience in enumerate(SAID_AGAIN):
-            conditions = [KeyVersion(records.job_key(job), 0) for job in unique]
-            puts = [Put(records.job_key(job), records.pack(waiting.record)) for job, waiting in unique.items()]
+        by_job = {submission.record.spec.job: submission for submission in batch}
+        for previous_attempts, timeout in enumerate(COMMIT_TIMEOUTS):
+            conditions = [KeyVersion(records.job_key(job), 0) for job in by_job]
+            puts = [Put(records.job_key(job), records.pack(submission.record)) for job, submission in by_job.items()]
             try:
-                version = await self._client.commit(Transaction(conditions, [*puts]), Urgency.USER, patience)
+                version = await self._client.commit(Transaction(conditions, [*puts]), Urgency.USER, timeout)
             except Conflict as conflict:
-                # Known already (a repeat, or our own write whose answer was lost).
-                known = {key[len(records.JOBS) :] for key in conflict.failed}
-                for job in known if tries else ():
+                # The job exists already: a repeated submission, or our own write whose answer was lost.
+                existing = {key[len(records.JOBS) :] for key in conflict.failed}
+                for job in existing if previous_attempts else ():
                     self._claims.add_accepted(job)
-                seen = await self._view.barrier(timedelta(seconds=1))
-                for waiting in batch:
-                    if waiting.record.spec.job in known and not waiting.answer.done():
-                        waiting.answer.set_result(False if seen else None)
-                unique = {job: waiting for job, waiting in unique.items() if job not in known}
-                if not unique or not known:
+                view_is_current = await self._view.barrier(timedelta(seconds=1))
+                for submission in batch:
+                    if submission.record.spec.job in existing and not submission.answer.done():
+                        submission.answer.set_result(False if view_is_current else None)
+                by_job = {job: submission for job, submission in by_job.items() if job not in existing}
+                if not by_job or not existing:
                     break
                 continue
             except (Unavailable, LeaseExpired):
                 break
             except OutcomeUnknown:
-                continue  # conditional: if it was applied, the repeat shows it
+                continue  # the write is conditional: if it was applied, the next attempt conflicts
             for put in puts:
                 self._view.apply(put.key, bytes(put.value), version)
-            for job in unique:
+            for job in by_job:
                 self._claims.add_accepted(job)
-            for waiting in batch:
-                if waiting.record.spec.job in unique and not waiting.answer.done():
-                    waiting.answer.set_result(waiting is unique[waiting.record.spec.job])
+            for submission in batch:
+                if submission.record.spec.job in by_job and not submission.answer.done():
+                    submission.answer.set_result(submission is by_job[submission.record.spec.job])
             return
-        for waiting in batch:
-            if not waiting.answer.done():
-                waiting.answer.set_result(None)
+        for submission in batch:
+            if not submission.answer.done():
+                submission.answer.set_result(None)
 
-    # -- questions ------------------------------------------------------------
+    # -- status requests ------------------------------------------------------
 
     def status(self, job: str) -> Answer | asyncio.Future[Answer]:
-        """How a job fares, as a read of the state service shows that is sent after the question came.
+        """The state of a job, as shown by a read of the state service that is sent after the request arrived.
 
-        Polls are a quarter of all requests on kerlann-fonts-fleet: they share the next read, and
-        have neither a task nor a timer of their own.
+        Status requests are a quarter of all requests on kerlann-fonts-fleet. They share the next read and
+        have no task or timer of their own.
         """
         if not messages.JOB_ID.fullmatch(job):
             return error_answer(404, "no such job")
         if job in self._view.final:
-            return self._tell(job)  # that changes no more
+            return self._status_answer(job)  # a final record does not change
         if not self._has_state():
             return error_answer(503, "no state service", 1)
         if job in self._view.unreadable:
             return RECORD_UNREADABLE
-        question = _Question(job, self._clock.now() + POLL_WAIT)
-        self._questions.append(question)
-        self._asked.set()
-        self._view.next_read().add_done_callback(partial(self._read_for, question))
-        return question.answer
+        request = _StatusRequest(job, self._clock.now() + READ_TIMEOUT)
+        self._status_requests.append(request)
+        self._request_added.set()
+        self._view.next_read().add_done_callback(partial(self._answer_after_read, request))
+        return request.answer
 
-    def _read_for(self, question: _Question, read: asyncio.Future[None]) -> None:
-        if not read.cancelled() and not question.answer.done():
-            question.answer.set_result(self._tell(question.job))
+    def _answer_after_read(self, request: _StatusRequest, read: asyncio.Future[None]) -> None:
+        if not read.cancelled() and not request.answer.done():
+            request.answer.set_result(self._status_answer(request.job))
 
     async def run_status_requests(self) -> None:
-        """Answers those for which no read came in time."""
+        """Answers 503 to status requests for which no read came before their deadline."""
         while True:
-            await self._asked.wait()
-            self._asked.clear()
-            while self._questions:
-                await asyncio.sleep(QUESTION_STEP.total_seconds())
+            await self._request_added.wait()
+            self._request_added.clear()
+            while self._status_requests:
+                await asyncio.sleep(EXPIRY_CHECK_INTERVAL.total_seconds())
                 now = self._clock.now()
-                while self._questions and (self._questions[0].answer.done() or self._questions[0].due <= now):
-                    question = self._questions.popleft()
-                    if not question.answer.done():
-                        question.answer.set_result(error_answer(503, "no state service", 1))
-
-    def _tell(self, job: str) -> Answer:
+                while self._status_requests and (
+                    self._status_requests[0].answer.done() or self._status_requests[0].deadline <= now
+                ):
+                    request = self._status_requests.popleft()
+                    if not request.answer.done():
+                        request.answer.set_result(error_answer(503, "no state service", 1))
+
+    def _status_answer(self, job: str) -> Answer:
         final = self._view.final.get(job)
         if final is not None:
             done = final.tasks if final.status is JobStatus.DONE else 0
@@ -309,20 +325,21 @@
     # -- cancellations --------------------------------------------------------
 
     async def cancel(self, job: str) -> Answer:
+        """Cancels a job: 200 with its final state, which is done if it had finished, otherwise an error answer."""
         if not messages.JOB_ID.fullmatch(job):
             return error_answer(404, "no such job")
-        deadline = self._clock.now() + WRITE_WAIT
+        deadline = self._clock.now() + WRITE_TIMEOUT
         while True:
             final = self._view.final.get(job)
             if final is not None:
-                return self._over(job, final)
+                return self._cancel_answer(job, final)
             if not self._has_state() or self._clock.now() >= deadline:
                 break
             if job in self._view.unreadable:
                 return RECORD_UNREADABLE
             entry = self._view.jobs.get(job)
             if entry is None:
-                if not await self._view.barrier(POLL_WAIT):
+                if not await self._view.barrier(READ_TIMEOUT):
                     break
                 if self._view.status_of(job) is None:
                     return error_answer(404, "no such job")
@@ -340,18 +357,19 @@
             self._view.apply(put.key, bytes(put.value), version)
         return error_answer(503, "not cancelled yet", 1)
 
-    def _over(self, job: str, final: FinalRecord) -> Answer:
-        """What a cancellation is answered; whoever confirms one tells the peers.
+    def _cancel_answer(self, job: str, final: FinalRecord) -> Answer:
+        """The answer to a cancellation of an ended job; a node that confirms a cancellation also notifies the peers.
 
-        Not only who has written it: its transaction may have been carried out without an answer, or by a controller
-        that has ended since, and then a leader without the state service was never told.
+        It does so even if it did not write the cancellation itself: the transaction may have been applied without
+        an answer, or written by a controller that has ended since. A leader without the state service was never
+        notified in these cases.
         """
         if final.status is JobStatus.CANCELLED:
             record = JobRecord(final.footprint.spec(job, final.tasks), JobStatus.CANCELLED)
             self.notify_cancelled(job, final.version, record)
-        return self._state(200, job, final.status)
+        return self._state_answer(200, job, final.status)
 
-    def _state(self, status: int, job: str, known: JobStatus) -> Answer:
-        if not known.final:
-            known = JobStatus.RUNNING if self.running(job) else JobStatus.PENDING
-        return Answer(status, messages.encode(JobState(job, known)))
+    def _state_answer(self, status: int, job: str, known_status: JobStatus) -> Answer:
+        if not known_status.final:
+            known_status = JobStatus.RUNNING if self.running(job) else JobStatus.PENDING
+        return Answer(status, messages.encode(JobState(job, known_status)))
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -7,7 +7,13 @@
 import msgspec
 import pytest
 
-from gingerspar.coordination.jobs.job_api import MOST_WAITING, POLL_WAIT, STATE_UNAVAILABLE_AFTER, WRITE_WAIT, JobApi
+from gingerspar.coordination.jobs.job_api import (
+    MAX_QUEUED_SUBMISSIONS,
+    READ_TIMEOUT,
+    STATE_UNAVAILABLE_AFTER,
+    WRITE_TIMEOUT,
+    JobApi,
+)
 from gingerspar.protocol.messages import MachineType
 from gingerspar.protocol.settings import TeamFacts
 from gingerspar.storage.view import Phase, WatchedView
@@ -41,13 +47,13 @@
 
 def test_who_can_not_be_served_in_time_is_told_at_once() -> None:
     """Submissions queued behind more writes than their users would wait for."""
-    room = int(2.0 * WRITE_WAIT.total_seconds()) + 1
+    room = int(2.0 * WRITE_TIMEOUT.total_seconds()) + 1
     answers = asyncio.run(_crowd(2.0, room + 3))
     assert answers == [(429, "1")] * 3
 
 
 def test_the_queue_has_an_end() -> None:
-    answers = asyncio.run(_crowd(1000.0, MOST_WAITING + 2))
+    answers = asyncio.run(_crowd(1000.0, MAX_QUEUED_SUBMISSIONS + 2))
     assert [status for status, _ in answers] == [429, 429]
 
 
@@ -89,7 +95,7 @@
             if by[place] is None and isinstance(answer, asyncio.Future) and answer.done():
                 by[place] = (answer.result().status, read)
         if read == 1:
-            await asyncio.sleep(POLL_WAIT.total_seconds() + 0.5)  # the second one never comes
+            await asyncio.sleep(READ_TIMEOUT.total_seconds() + 0.5)  # the second one never comes
             served = []
     expiring.cancel()
     return by
