--- a/gingerspar/coordination/jobs/__init__.py
+++ b/gingerspar/coordination/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs and their records: the front door, claims, sweeps, relayed requests."""
+"""Jobs and their records: the user-facing job API, claims, sweeps of lapsed claims, relayed requests."""
--- a/gingerspar/coordination/jobs/relay.py
+++ b/gingerspar/coordination/jobs/relay.py
@@ -1,4 +1,4 @@
-"""Users' requests that a peer can serve while this node lacks the state service."""
+"""Forwards users' requests to a peer while this node cannot reach the state service and the peer can."""
 
 import asyncio
 import secrets
@@ -10,58 +10,64 @@
 from gingerspar.transport.peerlink import PeerLink
 from gingerspar.transport.server import Answer, resolve_answer
 
-RELAY_WAIT = timedelta(seconds=1.7)  # pollers wait 2 s
+RELAY_TIMEOUT = timedelta(seconds=1.7)  # users wait 2 s for the answer to a status request
 
-NUMBER_BITS = 52  # where the requests' numbers begin; JSON numbers are whole up to 53 bits
+# Size of the random number from which requests are numbered; JSON numbers are exact integers up to 53 bits.
+FIRST_NUMBER_BITS = 52
 
 Serve = Callable[[str, str, bytes], Answer | Awaitable[Answer]]
 
 
 class RequestRelay:
-    """Both ends: what this node asks of its peers, and what they ask of it."""
+    """Both ends of the relay: forwards requests to peers and serves the requests that peers forward."""
 
     def __init__(self, node: str, link: PeerLink, serve: Serve) -> None:
         self._node = node
         self._link = link
         self._serve = serve
-        # A process that ends may be back within a fraction of a second, and then a peer's answer to
-        # its former self is still under way: with numbers from 1 on another user would be given it.
-        self._asked = secrets.randbits(NUMBER_BITS)
-        self._waiting: dict[int, asyncio.Future[Answer]] = {}
+        # A process may restart within a fraction of a second, while a peer's answer to the previous process is still
+        # in transit. If both processes numbered their requests from 1, another user would receive that answer.
+        self._last_number = secrets.randbits(FIRST_NUMBER_BITS)
+        self._pending_answers: dict[int, asyncio.Future[Answer]] = {}
         self._serving: set[asyncio.Task[None]] = set()
 
     async def forward(self, peer: str, method: str, path: str, body: bytes) -> Answer:
-        """Asks the peer over the link; the load balancer takes seconds to steer users elsewhere."""
+        """Forwards a request to a peer over the link and returns the peer's answer, or 503 if none arrives in time.
+
+        Without this, users would fail for the seconds that the load balancer needs to redirect them to another node.
+        """
         try:
             text = body.decode()
         except UnicodeDecodeError:
             return error_answer(400, "not JSON")
-        self._asked += 1
-        number = self._asked
+        self._last_number += 1
+        number = self._last_number
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = future
+        self._pending_answers[number] = future
         try:
             if not self._link.send(peer, peers.pack(peers.Relay(self._node, number, method, path, text))):
                 return error_answer(503, "no state service", 1)
-            return await asyncio.wait_for(future, RELAY_WAIT.total_seconds())
+            return await asyncio.wait_for(future, RELAY_TIMEOUT.total_seconds())
         except TimeoutError:
             return error_answer(503, "no state service", 1)
         finally:
-            del self._waiting[number]
+            del self._pending_answers[number]
 
     def handle_answer(self, message: peers.Relayed) -> None:
-        future = self._waiting.get(message.number)
+        """Passes a peer's answer to the waiting request; an answer to no waiting request is ignored."""
+        future = self._pending_answers.get(message.number)
         if future is not None and not future.done():
             headers = {} if message.retry_after is None else {"Retry-After": message.retry_after}
             future.set_result(Answer(message.status, message.body.encode(), headers))
 
     def serve(self, relay: peers.Relay) -> None:
+        """Starts serving a request that a peer forwarded; the answer goes back over the link."""
         task = asyncio.ensure_future(self._answer(relay))
         self._serving.add(task)
         task.add_done_callback(self._serving.discard)
 
     async def _answer(self, relay: peers.Relay) -> None:
-        # Served here or not at all: a relayed request is never relayed again.
+        # A relayed request is served here or fails; it is never relayed again.
         answer = await resolve_answer(self._serve(relay.method, relay.path, relay.body.encode()))
         message = peers.Relayed(
             self._node, relay.number, answer.status, answer.body.decode(), answer.headers.get("Retry-After")
