--- a/gingerspar/coordination/leader/dispatcher.py
+++ b/gingerspar/coordination/leader/dispatcher.py
@@ -1,7 +1,7 @@
-"""What the term leader learns and says: pure of input and output, driven by events.
+"""The term leader's view of the cluster and its decisions, driven by events and without any input or output.
 
-One ``Dispatcher`` lives as long as its term. Reports, records and the cloud's
-answers go in; commands, finishes and wishes come out.
+One ``Dispatcher`` exists for each term. Its input is reports, job records and the cloud's
+answers; its output is commands, finished tasks and pending requests.
 """
 
 import logging
@@ -38,25 +38,32 @@
 
 log = logging.getLogger(__name__)
 
-LEASE_MARGIN = timedelta(seconds=0.5)
-MOST_BACKOFF = timedelta(seconds=40)
-SICK_JOBS = 2  # that failed on a machine without a success in between: then it is to blame
-SICK_TASKS = 2  # ... or so many tasks of one job that runs well elsewhere
-WELL_FOR = timedelta(seconds=5)
-SAME_FAULT = 3  # machines on which a job fails that ran well on none: then the job is to blame
-MOST_COMMANDS = 800  # in one answer, which has to stay below 64 KiB; the longest takes 75 bytes or so
+# Added to a worker's lease, besides the clock drift, before its machine is declared lost.
+LEASE_EXPIRY_MARGIN = timedelta(seconds=0.5)
+# Longest delay before tasks of a job that fails on every machine are placed again.
+MAX_BACKOFF = timedelta(seconds=40)
+# A machine is faulty if this many jobs failed on it without a success in between.
+FAULTY_MACHINE_MIN_JOBS = 2
+# A machine is faulty if this many tasks of one job that runs well elsewhere failed on it.
+FAULTY_MACHINE_MIN_TASKS = 2
+# A task runs well if it has run for twice as long as a failed task of its job, plus this margin.
+HEALTHY_RUN_MARGIN = timedelta(seconds=5)
+# A job is faulty if it failed on this many machines and succeeded on none.
+FAULTY_JOB_MIN_MACHINES = 3
+# An answer has to stay below 64 KiB; the longest command takes about 75 bytes.
+MAX_COMMANDS_PER_ANSWER = 800
 
 
 class StaleReport(Exception):
-    """The report is older than what is known, or of a session that is over."""
+    """The report is older than what is known, or its session or machine is no longer valid."""
 
 
 class NewerToken(Exception):
-    """The worker has seen a higher token: this node no longer commands."""
+    """The worker has seen a higher token than this term's, so this node no longer commands."""
 
 
 class Dispatcher:
-    """Holds the books of one term."""
+    """Keeps the cluster state of one term and decides what is sent to the machines."""
 
     def __init__(
         self,
@@ -79,27 +86,27 @@
         self.runs = self.cluster_state.runs
         self.backlog = self.cluster_state.backlog
         self.workers = workers
-        self._lease = workers.lease * (1 + 4 * DRIFT) + LEASE_MARGIN
-        self._settled_by = raised_at + settling_time(workers)
+        self._lease_timeout = workers.lease * (1 + 4 * DRIFT) + LEASE_EXPIRY_MARGIN
+        self._settled_at = raised_at + settling_time(workers)
         self._placer = Placer(self.cluster_state)
-        self._to_drain: dict[str, Machine] = {}  # the cloud takes them away
-        self.pending_direct_stops: dict[str, Machine] = {}  # with stops that have not been told directly yet
+        self._machines_with_notice: dict[str, Machine] = {}  # machines that the cloud will reclaim
+        self.pending_direct_stops: dict[str, Machine] = {}  # with stops that have not been sent directly yet
         self.needs_placement = True
         self._wake: Callable[[Machine], None] = lambda machine: None
         self.final_spec: Callable[[str], JobSpec | None] = lambda job: None
-        self.is_ended: Callable[[str], bool] = lambda job: False  # done or cancelled, by the records
+        self.is_ended: Callable[[str], bool] = lambda job: False  # done or cancelled, according to the records
         self.on_unrecorded: Callable[[], None] = lambda: None
-        self.cluster_state.notify_machine = self._wanted_on
+        self.cluster_state.notify_machine = self._command_pending
         for name, type_name, zone, spot in roster:
             self.cluster_state.add_machine(
                 name, type_name, zone, spot, raised_at, MachineState.UNSETTLED, rostered=True
             )
 
     def on_wake(self, wake: Callable[[Machine], None]) -> None:
-        """``wake`` is called for each machine that a command waits for."""
+        """Sets the callback that receives each machine for which a command is waiting."""
         self._wake = wake
 
-    def _wanted_on(self, machine: Machine) -> None:
+    def _command_pending(self, machine: Machine) -> None:
         self.pending_direct_stops[machine.name] = machine
         self._wake(machine)
 
@@ -107,7 +114,7 @@
     def machines(self) -> dict[str, Machine]:
         return self.pool.machines
 
-    # -- what comes in: machine types and records -----------------------------
+    # -- input: machine types and records -------------------------------------
 
     def set_types(self, types: Iterable[MachineType]) -> None:
         self.cluster_state.set_types(types)
@@ -116,7 +123,7 @@
     def set_record(
         self, job: str, record: JobRecord | None, finished: TaskSet | None, now: timedelta, *, done: bool = False
     ) -> None:
-        """A new version of a record; None: the job is over, ``done`` or cancelled."""
+        """Applies a new version of a job's record; None means that the job has ended, ``done`` or cancelled."""
         run = self.runs.get(job)
         self.needs_placement = True
         if record is None or finished is None:
@@ -126,14 +133,18 @@
                 self.cluster_state.end_run(run, now)
             return
         if run is None or run.ended:
-            found = self._begin(record, finished, now)
+            new_run = self._new_run(record, finished, now)
             if run is not None:
-                found.places, found.running, found.max_used_attempt = run.places, run.running, run.max_used_attempt
-                found.open -= set(run.places)
-            run = self.runs[job] = found
+                new_run.places, new_run.running, new_run.max_used_attempt = (
+                    run.places,
+                    run.running,
+                    run.max_used_attempt,
+                )
+                new_run.open -= set(run.places)
+            run = self.runs[job] = new_run
         run.record = record
         if record.claim_term < self.term:
-            # Claimed under an older leader, who may have started this attempt.
+            # The job was claimed under an earlier leader, which may have started this attempt.
             run.max_used_attempt = max(run.max_used_attempt, record.attempt)
         for number in finished.difference(run.recorded):
             run.finished.add(number)
@@ -144,7 +155,7 @@
             self.cluster_state.unrecorded.pop(job, None)
         self.backlog.update(run, now, fresh=True)
 
-    def _begin(self, record: JobRecord, finished: TaskSet, now: timedelta) -> JobRun:
+    def _new_run(self, record: JobRecord, finished: TaskSet, now: timedelta) -> JobRun:
         run = JobRun(record.spec, record, finished.copy(), finished.copy(), submitted=now)
         if self._today is not None:
             age = self._today().timestamp() - record.submitted
@@ -161,21 +172,23 @@
     # -- reports --------------------------------------------------------------
 
     def handle_report(self, report: Report, now: timedelta) -> Machine:
-        """Takes a report in; raises ``StaleReport`` or ``NewerToken`` if it must not be answered.
+        """Applies a report and returns its machine.
 
-        ``Malformed``, before anything has changed, if its task list can't be read.
+        Raises ``StaleReport`` or ``NewerToken`` if the report must not be answered, and ``Malformed``, before
+        anything has changed, if its task list can't be read.
         """
         if report.token > self.term:
             raise NewerToken
         machine = self.machines.get(report.machine)
-        tasks = bytes(report.tasks)
-        listed = report.task_list() if machine is None or tasks != machine.tasks_seen else None
+        encoded_tasks = bytes(report.tasks)
+        listed_tasks = report.task_list() if machine is None or encoded_tasks != machine.tasks_seen else None
         if machine is None:
             if report.token >= self.term:
-                # It has heard of this term, so this leader knew it, and has given it back since: a copy.
-                # The task that it shows would be taken to run there for the length of a lease.
+                # The worker has seen this term's token, so this leader knew the machine and has returned it to the
+                # cloud since: the report is a delayed copy. Accepting it would make the tasks that it lists count
+                # as running there for the length of a lease.
                 raise StaleReport
-            # Unexpected, yet not on the roster: no older leader can have used it.
+            # The machine is unexpected, but not on the roster: no earlier leader can have used it.
             machine = self.cluster_state.add_machine(
                 report.machine, report.type, report.zone, report.spot, now, MachineState.BOOTING
             )
@@ -184,16 +197,17 @@
         if report.session < machine.min_session or (report.session, report.seq) <= (machine.session, machine.seq):
             raise StaleReport
         if report.token < self.term and report.session == machine.token_session:
-            # A worker forgets no token: it has ended, is back, and numbers its reports anew. What its former life
-            # sent and is still under way can't be told from what it says itself, so its lease is waited for.
+            # A worker process never forgets a token, so this one was restarted and numbers its reports anew. Delayed
+            # reports of its previous process can't be told apart from its own: its lease has to run out first.
             raise StaleReport
-        heard = self._heard(machine, report, now)
+        answer_received = self._received_last_answer(machine, report, now)
         machine.session, machine.seq = report.session, report.seq
         machine.address = report.address
         if report.token < self.term:
-            # It may yet take an older leader's answer; its next report tells what is on it. One that
-            # doesn't hear, or whose reports are late copies, would stay so for good, and all that may
-            # run on it with it: it is told for a while only, and then its lease is waited for.
+            # The worker may still accept an earlier leader's answer, so only its next report shows what is on it.
+            # A worker that receives nothing, or whose reports are delayed copies, would remain in this state for
+            # good, as would all tasks that may run on it. It is therefore sent the token for TOKEN_RETRY_LIMIT
+            # only; after that its lease has to run out.
             if machine.token_sent_at is None:
                 machine.token_sent_at = now
             elif now - machine.token_sent_at > TOKEN_RETRY_LIMIT:
@@ -210,15 +224,15 @@
             machine.move(MachineState.READY)
             machine.idle_since = None
             self.needs_placement = True
-        if listed is not None:
-            self._take_tasks(machine, report, listed, now)
-            machine.tasks_seen = tasks
+        if listed_tasks is not None:
+            self._apply_task_list(machine, report, listed_tasks, now)
+            machine.tasks_seen = encoded_tasks
             self.needs_placement = True
-        if heard is not None:
-            self._judge(machine, heard, now)
+        if answer_received is not None:
+            self._record_answer_delivery(machine, answer_received, now)
         if report.notice_s is not None:
             machine.notice = now + timedelta(seconds=report.notice_s)
-            self._to_drain[machine.name] = machine
+            self._machines_with_notice[machine.name] = machine
             if machine.state is MachineState.READY:
                 self.drain_machine(machine, "spot notice")
         if not machine.live and machine.idle_since is None:
@@ -226,53 +240,55 @@
         return machine
 
     def notified_directly(self, machine: Machine, report: Report) -> None:
-        """A machine that has not come by itself has shown this report, and is now told of the token directly.
+        """Records the status report of a machine that has not reported by itself and is now sent the token directly.
 
-        From then on its reports show the token. One that arrives late must not pass for the first word of the
-        machine's next life: of a session that is over once the machine was taken for lost, or of a worker that
-        has ended and numbers its reports anew (traces/told_directly). The report that is under way now may be
-        one or two numbers older.
+        From then on its reports carry the token. A delayed report must not pass for the first one after a loss or
+        a restart: its session may have ended when the machine was declared lost, or its worker may have ended and
+        numbers its reports anew (traces/told_directly). The report that is under way now may be one or two numbers
+        older.
         """
-        shown = (report.session, max(report.seq - 2, 0))
-        if machine.state is MachineState.UNSETTLED and shown > (machine.session, machine.seq):
-            machine.session, machine.seq = shown
+        reported = (report.session, max(report.seq - 2, 0))
+        if machine.state is MachineState.UNSETTLED and reported > (machine.session, machine.seq):
+            machine.session, machine.seq = reported
 
-    def _heard(self, machine: Machine, report: Report, now: timedelta) -> bool | None:
-        """Whether the worker has heard the answer to its report before; None: there was none to hear."""
+    def _received_last_answer(self, machine: Machine, report: Report, now: timedelta) -> bool | None:
+        """Whether the worker has received the answer to its previous report; None if there was no answer."""
         if machine.answered is None:
             return None
         if machine.token_sent_at is not None or report.token < self.term:
-            return report.token >= self.term  # it was told of the term, and shows that or not
-        # A new session: its lease has run out, unless it was restarted just now.
-        ticks = self._nodes if report.session > machine.session else report.seq - machine.seq
-        return not tried_other_controllers(now - machine.answered, ticks, self._nodes, self.workers.report)
-
-    def _judge(self, machine: Machine, heard: bool, now: timedelta) -> None:
-        machine.record_delivery(heard)
-        if heard:
+            return report.token >= self.term  # it was sent the token; the report shows whether it arrived
+        # A new session counts as a full round of the controllers: the worker's lease has run out, unless it was
+        # restarted just now.
+        seq_increase = self._nodes if report.session > machine.session else report.seq - machine.seq
+        return not tried_other_controllers(now - machine.answered, seq_increase, self._nodes, self.workers.report)
+
+    def _record_answer_delivery(self, machine: Machine, answer_received: bool, now: timedelta) -> None:
+        machine.record_delivery(answer_received)
+        if answer_received:
             return
         for placement in list(machine.live.values()):
             if placement.state is TaskState.PLANNED:
-                self.cluster_state.task_gone(placement, now)  # its `run` would be lost as well
+                self.cluster_state.task_gone(placement, now)  # its `run` command would not arrive either
         if machine.delivery.state is DeliveryState.FAILED and machine.state is MachineState.READY:
-            self.drain_machine(machine, "it hears no answer")
+            self.drain_machine(machine, "it receives no answers")
 
-    def _take_tasks(self, machine: Machine, report: Report, listed: list[TaskReport], now: timedelta) -> None:
-        # Names are taken apart only for what is not known yet or has ended: most of what a
-        # report lists runs on as before.
-        reported = {(task.task, task.attempt): task for task in listed}
+    def _apply_task_list(
+        self, machine: Machine, report: Report, listed_tasks: list[TaskReport], now: timedelta
+    ) -> None:
+        # Task names are parsed only for tasks that are unknown or have exited: most listed tasks run on unchanged.
+        reported = {(task.task, task.attempt): task for task in listed_tasks}
         for placement in list(machine.live.values()):
-            name = (placement.name, placement.attempt)
-            seen = reported.get(name)
-            if seen is not None:
-                if seen.status is not TaskStatus.EXITED:
-                    del reported[name]  # what is left is gone through below
-                if seen.status is not TaskStatus.RUNNING or placement.state is not TaskState.RUNNING:
-                    self._update(placement, seen, now)
+            name_and_attempt = (placement.name, placement.attempt)
+            reported_task = reported.get(name_and_attempt)
+            if reported_task is not None:
+                if reported_task.status is not TaskStatus.EXITED:
+                    del reported[name_and_attempt]  # the remaining entries are processed below
+                if reported_task.status is not TaskStatus.RUNNING or placement.state is not TaskState.RUNNING:
+                    self._update_task(placement, reported_task, now)
             elif placement.state is TaskState.SENT:
                 if (report.session, report.seq) > placement.answered:
-                    # The answer that carried `run` was dropped: a later report was sent
-                    # since, and answers to earlier ones have no effect any more.
+                    # The answer that carried `run` was dropped: the worker has sent a later report
+                    # since, and answers to earlier reports no longer have any effect.
                     if placement.stop_grace is not None:
                         self.cluster_state.task_gone(placement, now)
                     elif placement.live:
@@ -281,13 +297,13 @@
                 self.cluster_state.task_gone(placement, now)
         ended, machine.ended_placements = machine.ended_placements, {}
         machine.exited_placements = {}
-        strangers: list[tuple[tuple[str, int, int], TaskReport]] = []
-        for name, task in reported.items():
+        unknown_tasks: list[tuple[tuple[str, int, int], TaskReport]] = []
+        for name_and_attempt, task in reported.items():
             exited = task.status is TaskStatus.EXITED
-            if exited and name in ended:
-                # Machines with short tasks list eight finishes for each that is new (vatuloa-grep-fleet loss).
-                machine.ended_placements[name] = ended[name]
-                machine.exited_placements[ended[name]] = task.cause
+            if exited and name_and_attempt in ended:
+                # Machines with short tasks list eight exited tasks for each new one (vatuloa-grep-fleet loss).
+                machine.ended_placements[name_and_attempt] = ended[name_and_attempt]
+                machine.exited_placements[ended[name_and_attempt]] = task.cause
                 continue
             try:
                 job, number = task.task_id()
@@ -298,15 +314,15 @@
                 machine.exited_placements[key] = task.cause
                 run = self.runs.get(job)
                 if run is not None and not run.ended:
-                    machine.ended_placements[name] = key
+                    machine.ended_placements[name_and_attempt] = key
             if key not in machine.live:
-                strangers.append((key, task))
-        for key, task in strangers:
-            self._adopt(machine, key, task, now)
+                unknown_tasks.append((key, task))
+        for key, task in unknown_tasks:
+            self._adopt_task(machine, key, task, now)
 
-    def _update(self, placement: Placement, task: TaskReport, now: timedelta) -> None:
+    def _update_task(self, placement: Placement, task: TaskReport, now: timedelta) -> None:
         if task.status is TaskStatus.EXITED:
-            self._exited(placement, task, now)
+            self._task_exited(placement, task, now)
             return
         state = TASK_STATE_BY_STATUS[task.status]
         if placement.state is state or not placement.live:
@@ -315,25 +331,25 @@
         if state in (TaskState.RUNNING, TaskState.WAITING):
             placement.machine.remember_image(placement.spec.image, placement.spec.image_gb)
 
-    def _adopt(self, machine: Machine, key: tuple[str, int, int], task: TaskReport, now: timedelta) -> None:
-        """A task that this leader didn't start: an older one did."""
+    def _adopt_task(self, machine: Machine, key: tuple[str, int, int], task: TaskReport, now: timedelta) -> None:
+        """Takes over a task that an earlier leader started."""
         job, number, attempt = key
         run = self.runs.get(job)
         if task.status is TaskStatus.EXITED:
             if task.cause is Cause.DONE and run is not None:
-                self._done(run, number, now)
+                self._task_done(run, number, now)
             return
         if run is None:
-            # A job that is over, or that nobody knows. The task is stopped, and until it has
-            # ended it counts against its team's limit like any other.
+            # The job has ended or is unknown. The task is stopped, and until it has ended
+            # it counts against its team's limit like any other.
             run = self.runs.setdefault(job, run_of_ended_job(self.final_spec(job) or unknown_job_spec(job)))
         placement = Placement(run.spec, number, attempt, machine, TASK_STATE_BY_STATUS[task.status], now)
         if task.status is TaskStatus.RUNNING:
             placement.running_since = now
         self.cluster_state.add_placement(run, placement)
         run.max_used_attempt = max(run.max_used_attempt, attempt)
-        doubled = len(run.places[number]) > 1
-        if run.ended or doubled or number in run.finished or number >= run.spec.tasks:
+        is_duplicate = len(run.places[number]) > 1
+        if run.ended or is_duplicate or number in run.finished or number >= run.spec.tasks:
             log.info("stopping %s attempt %d found on %s", placement.name, attempt, machine.name)
             self.cluster_state.stop_task(placement, NO_GRACE_PERIOD, now)
             return
@@ -342,9 +358,9 @@
             run.set_gang_state(GangState.PLACED)
         self.backlog.update(run, now)
 
-    def _exited(self, placement: Placement, task: TaskReport, now: timedelta) -> None:
+    def _task_exited(self, placement: Placement, task: TaskReport, now: timedelta) -> None:
         if not placement.live:
-            return  # its gang was taken apart while this report was gone through
+            return  # its gang was stopped while this report was processed
         cause = task.cause
         machine = placement.machine
         placement.cause = cause
@@ -354,80 +370,82 @@
                 self.cluster_state.estimates.task(placement.spec, now - placement.running_since)
             machine.remember_image(placement.spec.image, placement.spec.image_gb)
             machine.errors.clear()
-            failed_on = [self.machines[name] for name in run.failures if name in self.machines]
+            failed_machines = [self.machines[name] for name in run.failures if name in self.machines]
             run.failures.clear()
             run.backoff = FIRST_BACKOFF
             run.has_succeeded = True
-            for other in failed_on:
-                self._blame(other, now)  # it was not the job, as is known now
-            self._done(run, placement.number, now)
+            for other in failed_machines:
+                self._drain_if_faulty(other, now)  # this success shows that the job is not at fault
+            self._task_done(run, placement.number, now)
             return
-        name = cause.value if cause is not None else "no cause"
-        log.debug("%s attempt %d on %s ended: %s", placement.name, placement.attempt, machine.name, name)
+        cause_name = cause.value if cause is not None else "no cause"
+        log.debug("%s attempt %d on %s ended: %s", placement.name, placement.attempt, machine.name, cause_name)
         if cause is Cause.ERROR:
-            self._failed(run, placement, now)
+            self._task_failed(run, placement, now)
         elif cause in (Cause.FULL, Cause.BUSY, Cause.UNKNOWN):
             run.not_before = now + FIRST_BACKOFF
         self.cluster_state.gang_task_lost(run, now)
 
-    def _done(self, run: JobRun, number: int, now: timedelta) -> None:
+    def _task_done(self, run: JobRun, number: int, now: timedelta) -> None:
         if self.cluster_state.task_done(run, number):
             self.on_unrecorded()
         self.backlog.update(run, now)
 
-    def _failed(self, run: JobRun, placement: Placement, now: timedelta) -> None:
-        """Blames the machine, or the job where it fails wherever it runs.
+    def _task_failed(self, run: JobRun, placement: Placement, now: timedelta) -> None:
+        """Counts a failure against the machine, or against the job if it fails wherever it runs.
 
-        A job with a mistake fails many tasks at once on the machine that it came to first. Two of them were
-        enough to give the machine back: on kerlann-fonts-ops operations 33 machines went that had nothing, with
-        all that ran on them.
+        Many tasks of a faulty job fail at once on the first machine that they are placed on. When two of these
+        were enough to return the machine to the cloud, 33 healthy machines were returned with all that ran on
+        them (kerlann-fonts-ops operations).
         """
         machine, job = placement.machine, run.spec.job
         machine.errors[job] = machine.errors.get(job, 0) + 1
         run.failures[machine.name] = run.failures.get(machine.name, 0) + 1
         if self._runs_elsewhere(run, placement, now):
             run.has_succeeded = True
-        if len(run.failures) >= SAME_FAULT and not run.has_succeeded:
+        if len(run.failures) >= FAULTY_JOB_MIN_MACHINES and not run.has_succeeded:
             run.not_before = now + run.backoff
-            run.backoff = min(run.backoff * 2, MOST_BACKOFF)
+            run.backoff = min(run.backoff * 2, MAX_BACKOFF)
             for other in self.pool:
                 other.errors.pop(job, None)
             return
         run.not_before = now + timedelta(seconds=0.2)
-        self._blame(machine, now)
+        self._drain_if_faulty(machine, now)
 
     @staticmethod
     def _runs_elsewhere(run: JobRun, failed: Placement, now: timedelta) -> bool:
-        """Whether another machine runs a task of the job for far longer than it took this one to fail."""
-        took = now - (failed.running_since or failed.since)
+        """Whether a task of the job has run on another machine for far longer than this one took to fail."""
+        time_to_failure = now - (failed.running_since or failed.since)
         return any(
-            other.running_since is not None and now - other.running_since > 2 * took + WELL_FOR
+            other.running_since is not None and now - other.running_since > 2 * time_to_failure + HEALTHY_RUN_MARGIN
             for other in run.live
             if other.machine is not failed.machine
         )
 
-    def _blame(self, machine: Machine, now: timedelta) -> None:
-        """Gives a machine up that fails what runs well elsewhere, or several jobs."""
+    def _drain_if_faulty(self, machine: Machine, now: timedelta) -> None:
+        """Drains a machine on which several jobs fail, or one job that runs well elsewhere."""
         if machine.state is not MachineState.READY:
             return
         runs = [(self.runs.get(job), count) for job, count in machine.errors.items()]
-        if len(runs) < SICK_JOBS and not any(
-            run is not None and run.has_succeeded and count >= SICK_TASKS for run, count in runs
+        if len(runs) < FAULTY_MACHINE_MIN_JOBS and not any(
+            run is not None and run.has_succeeded and count >= FAULTY_MACHINE_MIN_TASKS for run, count in runs
         ):
             return
-        self.drain_machine(machine, "fails its tasks")
+        self.drain_machine(machine, "tasks keep failing on it")
         for placement in list(machine.live.values()):
             self.cluster_state.stop_task(placement, NO_GRACE_PERIOD, now)
 
-    def drain_machine(self, machine: Machine, why: str) -> None:
-        log.info("machine %s leaves: %s", machine.name, why)
-        machine.leave_reason = why
+    def drain_machine(self, machine: Machine, reason: str) -> None:
+        """Takes the machine out of use for new tasks; ``reason`` is logged and kept with it."""
+        log.info("draining machine %s: %s", machine.name, reason)
+        machine.leave_reason = reason
         machine.move(MachineState.LEAVING)
         self.needs_placement = True
 
     # -- commands -------------------------------------------------------------
 
     def has_commands(self, machine: Machine) -> bool:
+        """Whether a `run`, or a stop that no answer has carried yet, waits for the machine's next answer."""
         if not machine.settled:
             return False
         return any(
@@ -436,127 +454,132 @@
         )
 
     def direct_stops(self, machine: Machine) -> list[Command]:
-        """Stops that need not wait for the machine's next report.
+        """Returns the stops to send at once, without waiting for the machine's next report.
 
-        Only stops: executed late, one ends at worst a task that is started again, while a
-        late `run` could start one that runs elsewhere or is cancelled. They go again with
-        the answers to reports until the task has ended.
+        Only stops are sent this way. Executed late, a stop at worst ends a task that is started again, while
+        a late `run` could start a task that runs elsewhere or is cancelled. The answers to reports repeat
+        each stop until its task has ended.
         """
-        found: list[Command] = []
+        commands: list[Command] = []
         for placement in machine.live.values():
             if placement.stop_grace is None or placement.direct_stop_grace == placement.stop_grace:
                 continue
             if placement.state not in (TaskState.PLANNED, TaskState.SENT):
                 placement.direct_stop_grace = placement.stop_grace
-                found.append(_stop(placement))
-        return found
+                commands.append(_stop_command(placement))
+        return commands
 
     def take_commands(self, machine: Machine, report: Report, now: timedelta) -> list[Command]:
-        """What the answer to this report carries; `run` goes nowhere else.
+        """Returns the commands for the answer to this report; `run` is sent in no other way.
 
-        Any answer with the token renews the worker's lease, so each carries the stops of all that the report
-        lists of jobs that are over, ahead of everything else (docs/design.md, "Cancelled work and leases").
+        Any answer with the token renews the worker's lease. Each answer therefore carries, ahead of everything
+        else, the stops of all reported tasks whose jobs have ended (docs/design.md, "Cancelled work and leases").
         """
         if report.token < self.term:
-            return self._stops_of_what_is_over(report)
+            return self._stops_for_ended_jobs(report)
         if not machine.settled:
             return []
         stopping = [p for p in machine.live.values() if p.stop_grace is not None and p.state is not TaskState.PLANNED]
-        over = [placement for placement in stopping if self.runs[placement.job].ended]
-        found = [self._answer_stop(placement) for placement in over[:MOST_COMMANDS]]
+        stopping_ended_jobs = [placement for placement in stopping if self.runs[placement.job].ended]
+        commands = [self._stop_with_answer(placement) for placement in stopping_ended_jobs[:MAX_COMMANDS_PER_ANSWER]]
         for (job, number, attempt), cause in machine.exited_placements.items():
             run = self.runs.get(job)
             keep = cause is Cause.DONE and run is not None and not run.ended and number in run.unrecorded
-            if not keep and len(found) < MOST_COMMANDS:
-                found.append(Command(Verb.FORGET, f"{job}/{number}", attempt))
+            if not keep and len(commands) < MAX_COMMANDS_PER_ANSWER:
+                commands.append(Command(Verb.FORGET, f"{job}/{number}", attempt))
         for placement in list(machine.live.values()):
-            if len(found) >= MOST_COMMANDS:
+            if len(commands) >= MAX_COMMANDS_PER_ANSWER:
                 break
             if placement.state is TaskState.PLANNED:
                 self.cluster_state.move_task(placement, TaskState.SENT, now)
                 placement.answered = (report.session, report.seq)
-                machine.tasks_seen = None  # the next report tells whether it arrived
+                machine.tasks_seen = None  # the next report shows whether it arrived
                 log.debug("run %s attempt %d on %s", placement.name, placement.attempt, machine.name)
-                found.append(Command(Verb.RUN, placement.name, placement.attempt))
-            elif placement.stop_grace is not None and placement not in over:
-                found.append(self._answer_stop(placement))
-        return found
+                commands.append(Command(Verb.RUN, placement.name, placement.attempt))
+            elif placement.stop_grace is not None and placement not in stopping_ended_jobs:
+                commands.append(self._stop_with_answer(placement))
+        return commands
 
     @staticmethod
-    def _answer_stop(placement: Placement) -> Command:
+    def _stop_with_answer(placement: Placement) -> Command:
         placement.stop_sent = True
-        return _stop(placement)
+        return _stop_command(placement)
+
+    def _stops_for_ended_jobs(self, report: Report) -> list[Command]:
+        """Returns stops for the reported tasks of ended jobs, for a worker that has yet to show the token.
 
-    def _stops_of_what_is_over(self, report: Report) -> list[Command]:
-        """For a worker that is told of the token: what it lists may yet change, but not that its job is over."""
-        found: list[Command] = []
+        Its task list may still change, but an ended job stays ended.
+        """
+        commands: list[Command] = []
         for task in report.task_list():
-            if task.status is TaskStatus.EXITED or len(found) >= MOST_COMMANDS:
+            if task.status is TaskStatus.EXITED or len(commands) >= MAX_COMMANDS_PER_ANSWER:
                 continue
             try:
                 job, _ = task.task_id()
             except ValueError:
                 continue
             if self.is_ended(job):
-                found.append(Command(Verb.STOP, task.task, task.attempt, NO_GRACE_PERIOD.total_seconds()))
-        return found
+                commands.append(Command(Verb.STOP, task.task, task.attempt, NO_GRACE_PERIOD.total_seconds()))
+        return commands
 
-    # -- time -----------------------------------------------------------------
+    # -- periodic work --------------------------------------------------------
 
     def place_tasks(self, now: timedelta) -> None:
-        """Gives places to open tasks; ``needs_placement`` stays set when some are still to be looked at."""
+        """Places open tasks; ``needs_placement`` stays set when some have yet to be evaluated."""
         self.needs_placement = False
         if not self._placer.place(now):
             self.needs_placement = True
 
-    def tick(self, now: timedelta, read: timedelta) -> None:
-        """Leases that ran out, notices that come due, gangs that came back incomplete.
+    def tick(self, now: timedelta, state_read_sent: timedelta) -> None:
+        """Handles expired leases, spot notices that come due and gangs that were found incomplete after a term change.
 
-        ``read``: when the last good read of the state service was sent. That a machine has been silent for its
-        lease proves that the lease is over only if nobody else has renewed it. A leader without the state service
-        goes on for L while a successor may have all that it has lost: cut off together with one zone, it took the
-        machines of the other for lost and started their tasks again, while they ran on under its successor.
-        A read sent after the lease's end that shows this term still shows that there was no successor before.
+        ``state_read_sent`` is when the last successful read of the state service was sent. A machine's silence for
+        the length of its lease proves that the lease has run out only if no other leader has renewed it. A leader
+        without the state service continues for L (``authority_duration``), while a successor may have contact with
+        all that it has lost. A leader that was partitioned together with one zone declared the machines of the
+        other zone lost and started their tasks again, while these ran on under its successor. A read that was sent
+        after the end of the lease and still shows this term proves that there was no successor before.
         """
         for machine in self.pool.in_states(MachineState.READY, MachineState.LEAVING):
-            if machine.answered is not None and read - machine.answered > self._lease:
-                self.machine_lost(machine, "silent for its lease", now)
+            if machine.answered is not None and state_read_sent - machine.answered > self._lease_timeout:
+                self.machine_lost(machine, "no report within its lease", now)
         unsettled = self.pool.in_states(MachineState.UNSETTLED)
         for machine in unsettled:
-            heard = machine.answered + self._lease if machine.answered is not None else self._settled_by
-            if read > max(heard, self._settled_by):
-                self.machine_lost(machine, "silent since the term began", now)
+            lease_end = machine.answered + self._lease_timeout if machine.answered is not None else self._settled_at
+            if state_read_sent > max(lease_end, self._settled_at):
+                self.machine_lost(machine, "no report since the term started", now)
         for machine in self.pool.in_states(MachineState.BOOTING):
-            if machine.answered is not None and read - machine.answered > self._lease:
-                # Deaf, or never there: late copies of what a machine said that was given back.
-                self.machine_lost(machine, "it was answered and doesn't show it", now)
+            if machine.answered is not None and state_read_sent - machine.answered > self._lease_timeout:
+                # The machine receives nothing, or it no longer exists: then its reports are delayed copies from
+                # before it was returned to the cloud.
+                self.machine_lost(machine, "its reports do not show the answers sent to it", now)
         if not unsettled:
-            self._mend_gangs(now)
-        self._drain(now)
+            self._stop_incomplete_gangs(now)
+        self._stop_before_removal(now)
 
-    def _mend_gangs(self, now: timedelta) -> None:
-        """Gangs of an older term of which not all tasks were found are stopped."""
+    def _stop_incomplete_gangs(self, now: timedelta) -> None:
+        """Stops gangs of an earlier term if not all their tasks were found, or not all in the same attempt."""
         for run in list(self.runs.values()):
             if run.is_gang and not run.ended and run.gang_state is GangState.PLACED and not run.finished.full:
                 attempts = {placement.attempt for placement in run.live}
                 if len(run.places) < run.spec.tasks or len(attempts) > 1:
                     self.cluster_state.gang_task_lost(run, now)
 
-    def _drain(self, now: timedelta) -> None:
-        """Saves what can be saved on machines that the cloud takes away."""
-        for name, machine in list(self._to_drain.items()):
+    def _stop_before_removal(self, now: timedelta) -> None:
+        """Stops services and saves tasks with checkpoints on machines that the cloud is about to reclaim."""
+        for name, machine in list(self._machines_with_notice.items()):
             if machine.state is not MachineState.LEAVING or machine.notice is None:
-                del self._to_drain[name]
+                del self._machines_with_notice[name]
                 continue
-            left = machine.notice - now
+            time_left = machine.notice - now
             for placement in list(machine.live.values()):
                 spec = placement.spec
                 if placement.stop_grace is None and spec.shape is Shape.SERVICE:
                     self.cluster_state.stop_task(placement, spec.save_time, now)  # a replica gains nothing by staying
                 if placement.stop_grace is not None or not spec.checkpoint_s:
                     continue
-                # Late enough to get on, early enough for the command to arrive and the save to end.
-                if left <= spec.save_time + self.workers.report * 1.5 + timedelta(seconds=1):
+                # Late enough for the task to make progress, early enough for the command to arrive and the save to end.
+                if time_left <= spec.save_time + self.workers.report * 1.5 + timedelta(seconds=1):
                     grace = spec.save_time + timedelta(seconds=1)
                     run = self.runs[placement.job]
                     if run.is_gang:
@@ -564,9 +587,9 @@
                     else:
                         self.cluster_state.stop_task(placement, grace, now)
 
-    def machine_lost(self, machine: Machine, why: str, now: timedelta) -> None:
-        """Nothing runs there any more: its worker's lease is over, or the machine is."""
-        log.info("machine %s lost: %s", machine.name, why)
+    def machine_lost(self, machine: Machine, reason: str, now: timedelta) -> None:
+        """Marks a machine as lost: its worker's lease has run out or the machine has failed, so nothing runs there."""
+        log.info("machine %s lost: %s", machine.name, reason)
         machine.move(MachineState.LOST)
         machine.min_session = machine.session + 1
         machine.token_sent_at = None
@@ -576,40 +599,45 @@
         self.needs_placement = True
 
     def machine_returned(self, machine: Machine, now: timedelta) -> None:
-        """The cloud said 200: the machine and all on it are gone."""
+        """Removes a machine whose return the cloud has confirmed with 200: it is gone with all that was on it."""
         self.cluster_state.remove_machine(machine, now)
         self.pending_direct_stops.pop(machine.name, None)
-        self._to_drain.pop(machine.name, None)
+        self._machines_with_notice.pop(machine.name, None)
         self.needs_placement = True
 
     # -- for display ----------------------------------------------------------
 
     def summary(self) -> str:
-        """One line on what is up, in use and waiting."""
+        """Returns one line on jobs, waiting tasks, the teams' usage and the machines."""
         claimed = [run for run in self.runs.values() if run.record.status is JobStatus.RUNNING and not run.ended]
-        up = Counter((machine.type, machine.zone, machine.spot, machine.state.value) for machine in self.pool)
-        idle = Counter(
+        machine_counts = Counter(
+            (machine.type, machine.zone, machine.spot, machine.state.value) for machine in self.pool
+        )
+        idle_counts = Counter(
             (machine.type, machine.zone, machine.spot)
             for machine in self.pool.in_states(MachineState.READY)
             if not machine.live
         )
-        machines = " ".join(f"{_place(offer)}:{state}={count}" for (*offer, state), count in sorted(up.items()))
-        idling = " ".join(f"{_place(offer)}={count}" for offer, count in sorted(idle.items()))
-        teams = " ".join(f"{name}={used.cpus:g}/{used.gpus:g}" for name, used in self.cluster_state.usage.items())
-        waiting = Counter[str]()
+        machines = " ".join(
+            f"{_format_offer(offer)}:{state}={count}" for (*offer, state), count in sorted(machine_counts.items())
+        )
+        idle_machines = " ".join(f"{_format_offer(offer)}={count}" for offer, count in sorted(idle_counts.items()))
+        teams = " ".join(f"{name}={usage.cpus:g}/{usage.gpus:g}" for name, usage in self.cluster_state.usage.items())
+        waiting_counts = Counter[str]()
         for run in self.backlog:
-            waiting[f"{run.spec.jobclass}:{run.spec.shape.value}"] += len(run.open)
-        waits = " ".join(f"{name}={count}" for name, count in sorted(waiting.items()))
+            waiting_counts[f"{run.spec.jobclass}:{run.spec.shape.value}"] += len(run.open)
+        waiting_tasks = " ".join(f"{name}={count}" for name, count in sorted(waiting_counts.items()))
         return (
             f"jobs={len(self.runs)} claimed={len(claimed)} waiting={len(self.backlog.waiting)} "
-            f"tasks: {waits} teams: {teams} machines: {machines} idle: {idling}"
+            f"tasks: {waiting_tasks} teams: {teams} machines: {machines} idle: {idle_machines}"
         )
 
     def unreported_machines(self) -> list[Machine]:
-        """Machines that may run what an older leader started and have not been heard in this term."""
+        """Returns the machines that may run tasks of an earlier leader and have not reported in this term."""
         return [machine for machine in self.pool.in_states(MachineState.UNSETTLED) if machine.answered is None]
 
     def running_counts(self) -> dict[str, int]:
+        """Returns the number of running or saving tasks of each job that has any."""
         return {job: run.running for job, run in self.runs.items() if run.running and not run.ended}
 
     def running_count(self, job: str) -> int:
@@ -617,11 +645,11 @@
         return run.running if run is not None and not run.ended else 0
 
 
-def _stop(placement: Placement) -> Command:
+def _stop_command(placement: Placement) -> Command:
     assert placement.stop_grace is not None
     return Command(Verb.STOP, placement.name, placement.attempt, placement.stop_grace.total_seconds())
 
 
-def _place(offer: Iterable[object]) -> str:
-    kind, zone, spot = offer
-    return f"{kind}/{zone}/{'spot' if spot else 'ordinary'}"
+def _format_offer(offer: Iterable[object]) -> str:
+    type_name, zone, spot = offer
+    return f"{type_name}/{zone}/{'spot' if spot else 'ordinary'}"
