--- a/gingerspar/storage/client.py
+++ b/gingerspar/storage/client.py
@@ -1,4 +1,4 @@
-"""The state service's interface, with the outcome of every call spelt out."""
+"""Client of the state service; each call returns a result or raises an exception that tells whether it was executed."""
 
 from datetime import timedelta
 from urllib.parse import quote
@@ -8,21 +8,28 @@
 from gingerspar.transport.client import Client, NoAnswer
 from gingerspar.transport.clock import Clock
 
-# Answers mostly come within 10 ms, some after a few hundred. A transaction that has none by then may be carried out all
-# the same, so whoever sent it reads, and says it again if it has to: each is conditional, and only one of them counts.
+# Usually the service answers within 10 ms, sometimes after a few hundred. A transaction without an answer by then may
+# still be executed, so its sender reads the state and repeats the transaction if necessary. Each transaction is
+# conditional, so at most one of the repetitions takes effect.
 ANSWER_WAIT = timedelta(seconds=0.8)
 
 
 class Unavailable(Exception):
-    """The request was not executed: 503, 429 or no connection."""
+    """The request was not executed: the service answered 429, 503 or another unexpected status."""
 
 
 class OutcomeUnknown(Exception):
-    """No answer: the request may have been executed, or may yet be."""
+    """No answer arrived: the request may have been executed, or may still be executed.
+
+    Also raised when no connection was established, although the request was then not executed.
+    """
 
 
 class Conflict(Exception):
-    """A condition did not hold; nothing was written."""
+    """A condition of the transaction did not hold, and nothing was written.
+
+    ``failed``: keys of the conditions that did not hold; ``revision``: of the state service.
+    """
 
     def __init__(self, failed: list[str], revision: int) -> None:
         super().__init__(", ".join(failed))
@@ -31,71 +38,77 @@
 
 
 class LeaseExpired(Exception):
-    """The lease of a put, or the one to extend, has ended."""
+    """The lease that a put names, or that was to be extended, has ended."""
 
 
 class RevisionCompacted(Exception):
-    """Changes since that revision are no longer kept."""
+    """The service no longer keeps the changes since the requested revision."""
 
 
 class StateClient:
-    """Calls to the state service within this node's share of its limits."""
+    """Sends requests to the state service within this node's share of its rate limits.
 
-    # A 429 was not executed and is simply asked again, so shares may overlap a little:
-    # nodes are seldom busy all at once.
-    WRITE_OVERLAP = 1.4
-    WRITE_LIMIT = 0.95  # of the limit, when shares follow demand
-    LEAST_SHARE = 0.4  # of an even share; what a node gets that asks for nothing
-    REQUEST_SHARE = 0.45  # of the node's part; the rest is for the view's reads
+    ``rps`` (requests per second) and ``write_rps`` (changes per second) are limits of all ``nodes`` together;
+    ``txn_ops`` bounds the changes in one transaction, ``value_bytes`` the size of one value.
+    """
+
+    # Multiplies the even share of the write limit until ``share_writes`` is first called. The nodes together may exceed
+    # the limit a little: they are seldom busy all at once, and a request that gets a 429 was not executed and is sent
+    # again.
+    WRITE_OVERCOMMIT = 1.4
+    WRITE_LIMIT_FRACTION = 0.95  # fraction of the write limit that ``share_writes`` distributes by demand
+    MIN_WRITE_SHARE = 0.4  # fraction of an even share that each node gets as a minimum, even without demand
+    REQUEST_SHARE = 0.45  # fraction of the node's even share of requests; the rest is for the reads of the view
 
     def __init__(
         self, address: str, clock: Clock, *, rps: float, write_rps: float, txn_ops: int, value_bytes: int, nodes: int
     ) -> None:
         self._client = Client(address)
         self._clock = clock
-        part = 1 / max(nodes, 1)
-        write_rate = write_rps * min(1.0, part * self.WRITE_OVERLAP)
+        node_share = 1 / max(nodes, 1)
+        write_rate = write_rps * min(1.0, node_share * self.WRITE_OVERCOMMIT)
         self._writes = Budget(clock, write_rate, max(1.0, write_rate))
         self._rps = rps
         request_rate = self._request_rate(nodes)
         self._requests = Budget(clock, request_rate, request_rate)
         self._write_rps = write_rps
-        self._even = write_rps * part
+        self._even_write_rate = write_rps * node_share
         self._txn_ops = txn_ops
-        self.most_conditions = 4 * txn_ops
+        self.most_conditions = 4 * txn_ops  # per transaction
         self.value_bytes = value_bytes
 
     @property
     def most_puts(self) -> int:
-        """Changes in one transaction: what the service allows, and what this node may write at once."""
+        """Maximum number of changes in one transaction, by the service's limit and by this node's write budget."""
         return max(1, min(self._txn_ops, int(self._writes.burst)))
 
     @property
     def write_rate(self) -> float:
-        """Changes a second that this node may write now."""
+        """Changes per second that this node may write at present."""
         return self._writes.rate
 
     @property
     def write_demand(self) -> float:
+        """Changes per second that this node has requested recently; see ``Budget.demand``."""
         return self._writes.demand()
 
-    def share_writes(self, others: list[float]) -> None:
-        """Splits the common write limit by what this node and its peers ask for.
+    def share_writes(self, peer_demands: list[float]) -> None:
+        """Sets this node's share of the common write limit in proportion to demand.
 
-        An even split left most of it unused where it was needed most: sweeps, claims and
-        the roster are the work of few nodes.
+        ``peer_demands``: the write demand of each peer, in changes per second. An even split left most of
+        the limit unused, because sweeps, claims and roster updates are the work of a few nodes.
         """
-        least = self._even * self.LEAST_SHARE
-        mine = max(self.write_demand, least)
-        total = mine + sum(max(other, least) for other in others)
-        rate = max(self._write_rps * self.WRITE_LIMIT * mine / total, least)
+        min_rate = self._even_write_rate * self.MIN_WRITE_SHARE
+        own_demand = max(self.write_demand, min_rate)
+        total = own_demand + sum(max(peer_demand, min_rate) for peer_demand in peer_demands)
+        rate = max(self._write_rps * self.WRITE_LIMIT_FRACTION * own_demand / total, min_rate)
         self._writes.set_rate(rate, max(1.0, rate))
 
     def _request_rate(self, nodes: int) -> float:
         return max(1.0, self._rps * self.REQUEST_SHARE / max(nodes, 1))
 
     def share_requests(self, nodes: int) -> None:
-        """Splits the common request limit evenly among so many nodes: those that the service answers."""
+        """Splits the common request limit evenly among ``nodes``, the number of nodes that the service answers."""
         rate = self._request_rate(nodes)
         self._requests.set_rate(rate, rate)
 
@@ -114,7 +127,10 @@
         return status, answer
 
     async def changes(self, prefix: str, since: int, timeout: timedelta) -> messages.Changes:
-        """All changes after ``since``; not budgeted, the view keeps its own pace."""
+        """Reads all changes after revision ``since``, outside the request budget: the view limits its own rate.
+
+        Raises ``RevisionCompacted``, ``Unavailable`` or ``OutcomeUnknown``.
+        """
         path = f"{names.PATH_CHANGES}?Prefix={quote(prefix)}&Since={since}&HoldMs=0"
         status, answer = await self._call("GET", path, timeout=timeout)
         if status == 410:
@@ -123,9 +139,13 @@
             raise Unavailable(f"{status} {path}")
         return messages.decode(messages.Changes, answer)
 
-    async def page(self, prefix: str, since: str | None, most: int) -> messages.Items:
+    async def page(self, prefix: str, since: str | None, limit: int) -> messages.Items:
+        """Reads up to ``limit`` keys with the prefix that follow the key ``since``, in order.
+
+        Raises ``Unavailable`` or ``OutcomeUnknown``.
+        """
         await self._requests.acquire(1, Urgency.SESSION)
-        path = f"{names.PATH_KEYS}?Prefix={quote(prefix)}&Most={most}"
+        path = f"{names.PATH_KEYS}?Prefix={quote(prefix)}&Most={limit}"
         if since is not None:
             path += f"&Since={quote(since)}"
         status, answer = await self._call("GET", path, timeout=timedelta(seconds=4))
@@ -134,13 +154,17 @@
         return messages.decode(messages.Items, answer)
 
     async def commit(
-        self, transaction: messages.Transaction, urgency: Urgency, patience: timedelta = ANSWER_WAIT
+        self, transaction: messages.Transaction, urgency: Urgency, timeout: timedelta = ANSWER_WAIT
     ) -> int:
-        """The revision of the writes, or ``Conflict``, ``Unavailable``, or after ``patience`` ``OutcomeUnknown``."""
+        """Executes the transaction and returns the revision of its writes.
+
+        Raises ``Conflict``, ``LeaseExpired``, ``Unavailable``, or ``OutcomeUnknown`` if no answer arrives within
+        ``timeout``, which starts once the budgets allow the request.
+        """
         await self._requests.acquire(1, urgency)
         if transaction.writes:
             await self._writes.acquire(len(transaction.writes), urgency)
-        status, answer = await self._call("POST", names.PATH_COMMIT, messages.encode(transaction), patience)
+        status, answer = await self._call("POST", names.PATH_COMMIT, messages.encode(transaction), timeout)
         if status == 200:
             return messages.decode(messages.Committed, answer).revision
         if status == 409:
@@ -151,6 +175,10 @@
         raise Unavailable(f"commit: {status} {answer[:200]!r}")
 
     async def grant(self, ttl: timedelta) -> int:
+        """Creates a lease and returns its number.
+
+        Raises ``Unavailable`` or ``OutcomeUnknown``.
+        """
         await self._requests.acquire(1, Urgency.SESSION)
         request = messages.GrantRequest(ttl_ms=round(ttl.total_seconds() * 1000))
         status, answer = await self._call("POST", names.PATH_GRANTS, messages.encode(request))
@@ -159,6 +187,10 @@
         return messages.decode(messages.Granted, answer).lease
 
     async def extend(self, lease: int) -> None:
+        """Extends a lease by its full duration.
+
+        Raises ``LeaseExpired``, ``Unavailable`` or ``OutcomeUnknown``.
+        """
         await self._requests.acquire(1, Urgency.SESSION)
         status, _ = await self._call("POST", f"{names.PATH_GRANTS}/{lease}{names.PATH_EXTEND}", b"{}")
         if status == 404:
