--- a/gingerspar/storage/records.py
+++ b/gingerspar/storage/records.py
@@ -1,4 +1,8 @@
-"""Job records and the other records kept in the state service."""
+"""Records and keys that controllers store in the state service.
+
+The fields of the record types have the same names in the stored JSON, so they can't be renamed, with two exceptions:
+``Claimant`` is stored as an array, and ``TermRecord.leader`` names its stored field.
+"""
 
 import base64
 from collections.abc import Iterable, Iterator
@@ -7,13 +11,13 @@
 
 from gingerspar.protocol.messages import JobSpec, JobStatus, Priority, Shape
 
-PREFIX = "gs/"
-JOBS = PREFIX + "j/"
-FINISHED = PREFIX + "f/"
-NODES = PREFIX + "n/"
-ROSTER = PREFIX + "r/"
-TERM = PREFIX + "term"
-LIVENESS = PREFIX + "b/"
+PREFIX = "gs/"  # of all keys
+JOBS = PREFIX + "j/"  # JobRecord, by job
+FINISHED = PREFIX + "f/"  # ChunkRecord, by job and chunk
+NODES = PREFIX + "n/"  # NodeRecord, by node
+ROSTER = PREFIX + "r/"  # RosterRecord
+TERM = PREFIX + "term"  # TermRecord
+LIVENESS = PREFIX + "b/"  # LivenessRecord, by node
 
 
 def job_key(job: str) -> str:
@@ -32,12 +36,12 @@
     return f"{FINISHED}{job}/{chunk:04d}"
 
 
-# Priority, then due time, then submission, then the job's id.
+# Sort key of a job: rank of its priority, deadline and time of submission (both in seconds since 1970), job id.
 Order = tuple[int, float, float, str]
 
 
 class TaskSet:
-    """Task numbers as a bitmap: 100,000 of them take 12.5 KB."""
+    """Set of task numbers from 0 to ``size - 1``, stored as a bitmap: 100,000 numbers take 12.5 KB."""
 
     __slots__ = ("_bits", "_count", "_size")
 
@@ -66,7 +70,7 @@
         return self._count == self._size
 
     def add(self, number: int) -> bool:
-        """True if it was not in before."""
+        """Returns whether the number was added: it is in range and was not a member before."""
         if not 0 <= number < self._size or number in self:
             return False
         self._bits[number >> 3] |= 1 << (number & 7)
@@ -74,17 +78,18 @@
         return True
 
     def missing(self) -> Iterator[int]:
+        """Numbers that are not members, in ascending order."""
         return (number for number in range(self._size) if number not in self)
 
     def difference(self, other: "TaskSet") -> list[int]:
-        """Members that ``other``, of the same size, has not."""
+        """Members of this set that are not in ``other``, a set of the same size."""
         found: list[int] = []
-        for place, (mine, theirs) in enumerate(zip(self._bits, other._bits, strict=True)):
-            more = mine & ~theirs
-            while more:
-                lowest = more & -more
-                found.append(place * 8 + lowest.bit_length() - 1)
-                more ^= lowest
+        for index, (own_byte, other_byte) in enumerate(zip(self._bits, other._bits, strict=True)):
+            remaining = own_byte & ~other_byte
+            while remaining:
+                lowest = remaining & -remaining
+                found.append(index * 8 + lowest.bit_length() - 1)
+                remaining ^= lowest
         return found
 
     def copy(self) -> "TaskSet":
@@ -93,54 +98,57 @@
         return other
 
     def text(self, first_byte: int = 0, byte_count: int | None = None) -> str:
-        """Base64 of the bitmap or a part of it, without the empty end."""
+        """Base64 of the bitmap, or of ``byte_count`` bytes from ``first_byte`` on, without trailing zero bytes."""
         end = len(self._bits) if byte_count is None else first_byte + byte_count
         return base64.b64encode(bytes(self._bits[first_byte:end]).rstrip(b"\0")).decode()
 
     def merge(self, text: str, first_byte: int = 0) -> None:
-        """Adds what ``text`` made from such a part holds."""
+        """Adds the members that ``text`` returned for the part of a bitmap that starts at ``first_byte``."""
         for offset, byte in enumerate(base64.b64decode(text)):
-            place = first_byte + offset
-            if byte and place < len(self._bits):
-                self._count += (byte & ~self._bits[place]).bit_count()
-                self._bits[place] |= byte
+            index = first_byte + offset
+            if byte and index < len(self._bits):
+                self._count += (byte & ~self._bits[index]).bit_count()
+                self._bits[index] |= byte
 
 
 class Claimant(msgspec.Struct, frozen=True, array_like=True):
-    """A node in one of its sessions: the session key's version tells them apart."""
+    """A node in one of its sessions.
+
+    Stored as an array: the order of the fields must not change.
+    """
 
     node: str
-    session: int
+    session: int  # version of the node's session key
 
 
 class JobRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What is kept of a job. Every write is conditional on the record's version."""
+    """Description and progress of a job. Every write is conditional on the version of the stored record."""
 
     spec: JobSpec
     status: JobStatus
-    attempt: int = 0
-    claimant: Claimant | None = None
-    submitted: float = 0.0  # time of day, seconds
-    first_term: int = 0  # term at the first claim: in no earlier one can a task have been started
-    claim_term: int = 0  # term at the last claim
-    finished: str = ""  # bitmap, unless it is spilled
-    spilled: bool = False  # the bitmap is in chunk keys of its own
+    attempt: int = 0  # raised by each claim
+    claimant: Claimant | None = None  # None unless the job is running
+    submitted: float = 0.0  # seconds since 1970
+    first_term: int = 0  # term of the first claim; no task can have been started in an earlier term
+    claim_term: int = 0  # term of the latest claim
+    finished: str = ""  # bitmap of finished tasks (``TaskSet.text``); unused if ``spilled``
+    spilled: bool = False  # the bitmap is stored in ``ChunkRecord`` values under keys of its own
 
     @property
     def due(self) -> float:
-        """When it should be complete, for ordering; without a deadline: far off."""
+        """Deadline in seconds since 1970; infinite if the job has none."""
         return self.submitted + self.spec.due_s if self.spec.due_s is not None else float("inf")
 
     @property
     def order(self) -> Order:
-        """Priority, then earliest due, then earliest submitted."""
+        """Sort key: by priority, then by deadline, then by time of submission, earliest first."""
         return (self.spec.priority.rank, self.due, self.submitted, self.spec.job)
 
 
 class Footprint(msgspec.Struct, frozen=True):
-    """What a task of a job that is over takes, and of whom, while it is still on a machine.
+    """Resources that each task of an ended job occupies while it is still on a machine, and their owner.
 
-    Kept for each job that is over, however old: one such object serves all that are alike.
+    Kept for every ended job regardless of age, so equal footprints share one object.
     """
 
     jobclass: str
@@ -152,7 +160,7 @@
     memory_gb: float
 
     def spec(self, job: str, tasks: int) -> JobSpec:
-        """Enough of the job's description to stop its tasks, and to count them until they have ended."""
+        """A partial job description: sufficient to stop the remaining tasks and to account for them until they end."""
         return JobSpec(
             job=job,
             jobclass=self.jobclass,
@@ -171,60 +179,62 @@
 
 
 class FinalRecord(msgspec.Struct, frozen=True):
-    """All that is kept in memory of a job that is over."""
+    """The data of an ended job that is kept in memory."""
 
     status: JobStatus
     tasks: int
-    version: int
+    version: int  # of the stored job record
     footprint: Footprint
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """The session key's value."""
+    """Value of a node's session key. The key is bound to the lease of the session."""
 
-    started: float
-    lease: int = 0  # so that the node's next process can go on with the session
+    started: float  # seconds since 1970
+    lease: int = 0  # allows the next process of the node to resume the session
 
 
 class LivenessRecord(msgspec.Struct, frozen=True):
-    """A sign of life by way of the state service; each is a new version."""
+    """A node's liveness mark: each write gives the key a new version, which shows peers that the node is alive."""
 
     term: int
 
 
 class TermRecord(msgspec.Struct, frozen=True):
-    """Who commands the machines; ``term`` is the token that workers compare."""
+    """The leader, which commands the machines. ``term`` is the token that workers compare."""
 
     term: int
-    leader: str = msgspec.field(name="holder")  # as it was stored from the first version on
-    session: int
+    leader: str = msgspec.field(name="holder")  # stored under this name since the first release
+    session: int  # version of the leader's session key
 
 
 class RosterRecord(msgspec.Struct, frozen=True):
-    """Machines that may run tasks, of one type, zone and kind."""
+    """A group of machines that may run tasks, all of one type, zone and purchase kind."""
 
     type: str
     zone: str
-    spot: bool
-    names: tuple[str, ...] = ()
+    spot: bool  # spot machines; otherwise ordinary ones
+    names: tuple[str, ...] = ()  # of the machines
 
 
 class ChunkRecord(msgspec.Struct, frozen=True):
-    """A part of a spilled bitmap."""
+    """One part of a bitmap of finished tasks that is too large for the job record."""
 
-    bits: str
+    bits: str  # as ``TaskSet.text`` returns it
 
 
-_RECORD_ROOM = 2048  # for the record without its bitmap; ids and names are far shorter
+# Bytes reserved for a job record without its bitmap. Ids and names are far shorter.
+_RECORD_OVERHEAD_BYTES = 2048
 
 
 def chunk_bytes(value_bytes: int) -> int:
-    """Bitmap bytes that fit one value as base64."""
+    """Number of bitmap bytes that fit into one value as base64."""
     return max(96, (value_bytes - 512) * 3 // 4)
 
 
 def must_spill(tasks: int, value_bytes: int) -> bool:
-    return (tasks + 7) // 8 * 4 // 3 + _RECORD_ROOM > value_bytes
+    """Whether a job's bitmap is too large for its record, as a value may have ``value_bytes`` at most."""
+    return (tasks + 7) // 8 * 4 // 3 + _RECORD_OVERHEAD_BYTES > value_bytes
 
 
 _encoder = msgspec.json.Encoder()
