--- a/gingerspar/storage/view.py
+++ b/gingerspar/storage/view.py
@@ -1,8 +1,8 @@
-"""A watched copy of everything this service keeps in the state service.
+"""A copy of all keys that controllers store in the state service, kept up to date by reading its changes.
 
-One loop reads ``/changes`` with no hold: at a steady pace, and sooner when
-somebody needs to be sure (a barrier). Each read that comes back tells when it
-was *sent*; whoever needs a fresh view compares with that.
+One loop polls ``/changes`` at a regular interval, and earlier when a caller waits for a read sent after its call
+(``barrier``, ``next_read``). The requests don't ask the service to wait for changes. The age of the view is measured
+from the time at which the last successful read was sent, because its answer may lack changes made after that.
 """
 
 import asyncio
@@ -31,28 +31,37 @@
 
 log = logging.getLogger(__name__)
 
-LONG_AGO = timedelta(days=-10000)
-READ_WAIT = timedelta(seconds=1.5)
-PATIENCE = timedelta(seconds=0.5)  # where reads are further apart, the next one is sent once somebody waits
-ASK_AGAIN = timedelta(seconds=0.3)  # a read that takes longer is sent once more
+NEVER = timedelta(days=-10000)  # value of ``read_sent`` before the first read
+READ_TIMEOUT = timedelta(seconds=1.5)  # without an answer within this time, a read has failed
+# If the read interval is longer than this, a call of ``next_read`` makes the loop read without waiting for its end.
+READ_ON_DEMAND_ABOVE = timedelta(seconds=0.5)
+READ_RETRY_AFTER = timedelta(seconds=0.3)  # without an answer within this time, a second read is sent
 
 
-STEADY_SHARE = 0.30  # of a node's part of the request limit goes into reads
-IDLE_SHARE = 0.15  # the same, where nothing is commanded: what peers write is seldom waited for there
+# Fraction of a node's even share of the request limit that the leader uses for regular reads.
+LEADER_READ_SHARE = 0.30
+# The same for nodes that don't command machines: they seldom wait for changes written by peers.
+FOLLOWER_READ_SHARE = 0.15
 
 
-def read_pace(rps: float, nodes: int, share: float = STEADY_SHARE) -> timedelta:
-    """From one read to the next, of a node that commands; ``rps`` is the limit of all ``nodes`` together."""
+def read_pace(rps: float, nodes: int, share: float = LEADER_READ_SHARE) -> timedelta:
+    """Interval between regular reads, by default of the leader.
+
+    ``rps``: request limit of all ``nodes`` together, per second; ``share``: the fraction of a node's even share of it
+    that goes into reads.
+    """
     return timedelta(seconds=1 / max(rps / max(nodes, 1) * share, 0.5))
 
 
 class Phase(Enum):
+    """Whether the view is reading all keys, or the changes since."""
+
     LOADING = "loading"
     FOLLOWING = "following"
 
 
 class Versioned(msgspec.Struct):
-    """A decoded record and the version it has."""
+    """An unfinished job's decoded record, with its version and its set of finished tasks."""
 
     record: JobRecord
     version: int
@@ -60,64 +69,72 @@
 
 
 class WatchedView:
-    """Keys under one prefix, decoded, with the versions that writes are conditional on."""
+    """The decoded values of all keys under ``records.PREFIX``, with their versions, on which writes are conditional.
+
+    ``rps``: request limit of all ``nodes`` together, per second. The callbacks in ``on_job`` and ``on_node`` get the
+    id of the job or node whose record has changed; those in ``on_term`` and ``on_read`` are called after a change of
+    the term and after each successful read.
+    """
 
-    EAGER_SHARE = 0.50
+    MAX_READ_SHARE = 0.50  # maximum fraction of a node's even share of the request limit used by reads
 
     def __init__(self, client: StateClient, clock: Clock, *, rps: float, nodes: int) -> None:
         self._client = client
         self._clock = clock
-        part = rps / max(nodes, 1)
-        self._paces = {True: read_pace(rps, nodes), False: read_pace(rps, nodes, IDLE_SHARE)}
-        self._steady = self._paces[False]
-        self._eager = timedelta(seconds=1 / max(part * self.EAGER_SHARE, 1.0))
+        node_rps = rps / max(nodes, 1)
+        self._read_intervals = {True: read_pace(rps, nodes), False: read_pace(rps, nodes, FOLLOWER_READ_SHARE)}
+        self._read_interval = self._read_intervals[False]
+        self._min_read_interval = timedelta(seconds=1 / max(node_rps * self.MAX_READ_SHARE, 1.0))
         self.phase = Phase.LOADING
         self.revision = 0
-        self.read_sent = LONG_AGO  # when the last successful read was sent
-        self.jobs: dict[str, Versioned] = {}  # unfinished ones
-        self.final: dict[str, FinalRecord] = {}
+        self.read_sent = NEVER  # when the last successful read was sent
+        self.jobs: dict[str, Versioned] = {}  # unfinished jobs
+        self.final: dict[str, FinalRecord] = {}  # ended jobs
         self.nodes: dict[str, int] = {}  # node -> version of its session key
         self.node_records: dict[str, NodeRecord] = {}
-        self.roster: dict[str, tuple[RosterRecord, int]] = {}  # by key: a group of machines each
+        self.roster: dict[str, tuple[RosterRecord, int]] = {}  # by key
         self.term: tuple[TermRecord, int] | None = None
-        self.liveness: dict[str, timedelta] = {}  # when a sign of life of each node was last read here
-        self.unreadable: set[str] = set()  # jobs with a newer record than this program can read
-        self._gone: dict[str, int] = {}  # tombstones of our own deletions until the watch passes them
-        self._chunks: dict[str, dict[int, tuple[str, int]]] = {}
-        self._footprints: dict[Footprint, Footprint] = {}  # each is kept once for all jobs that are alike
-        self._wanted = asyncio.Event()
+        self.liveness: dict[str, timedelta] = {}  # by node: when its liveness mark was last read here
+        self.unreadable: set[str] = set()  # jobs with a record of a newer release that can't be decoded
+        self._tombstones: dict[str, int] = {}  # by key: version of an own deletion until the changes read include it
+        self._chunks: dict[str, dict[int, tuple[str, int]]] = {}  # by job and chunk: bits and version
+        self._footprints: dict[Footprint, Footprint] = {}  # one shared object for all equal footprints
+        self._read_requested = asyncio.Event()
         self._barriers: list[asyncio.Future[None]] = []
-        self._shared: asyncio.Future[None] | None = None  # one of them, for those that wait for the next read
+        self._shared_barrier: asyncio.Future[None] | None = None  # the one that ``next_read`` returns
         self.on_job: list[Callable[[str], None]] = []
         self.on_node: list[Callable[[str], None]] = []
         self.on_term: list[Callable[[], None]] = []
         self.on_read: list[Callable[[], None]] = []
 
     def age(self) -> timedelta:
-        """How long ago the last read that brought the view up to date was sent."""
+        """Time since the last successful read was sent."""
         return self._clock.now() - self.read_sent
 
-    def set_commanding(self, commands: bool) -> None:
-        """Whether this node commands the machines: then it reads more often."""
-        self._steady = self._paces[commands]
+    def set_commanding(self, commanding: bool) -> None:
+        """Sets whether this node commands the machines; the leader reads more often."""
+        self._read_interval = self._read_intervals[commanding]
 
     def next_read(self) -> asyncio.Future[None]:
-        """Done once a read sent after this call was applied, the next one in turn; without any bound in time.
+        """Returns a future that is done once the next read sent after this call has been applied.
 
-        All that ask before that read is sent share one future, which is not theirs to cancel.
+        There is no time limit. All callers before that read is sent share one future, so they must not cancel it.
         """
-        if self._shared is None:
-            self._shared = asyncio.get_running_loop().create_future()
-            self._barriers.append(self._shared)
-            if self._steady > PATIENCE:
-                self._wanted.set()
-        return self._shared
+        if self._shared_barrier is None:
+            self._shared_barrier = asyncio.get_running_loop().create_future()
+            self._barriers.append(self._shared_barrier)
+            if self._read_interval > READ_ON_DEMAND_ABOVE:
+                self._read_requested.set()
+        return self._shared_barrier
 
     async def barrier(self, timeout: timedelta) -> bool:
-        """True once a read sent after this call was applied; it is sent at once."""
+        """Requests a read as soon as possible and waits until one sent after this call has been applied.
+
+        Returns False if that takes longer than ``timeout``.
+        """
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._barriers.append(future)
-        self._wanted.set()
+        self._read_requested.set()
         try:
             await asyncio.wait_for(future, timeout.total_seconds())
         except TimeoutError:
@@ -127,11 +144,11 @@
         return True
 
     async def follow(self) -> None:
-        """Keeps the view up to date for as long as the process lives."""
+        """Keeps the view up to date; runs until the process ends."""
         while True:
             sent = self._clock.now()
-            served, self._barriers, self._shared = self._barriers, [], None
-            self._wanted.clear()
+            served, self._barriers, self._shared_barrier = self._barriers, [], None
+            self._read_requested.clear()
             read = False
             try:
                 if self.phase is Phase.LOADING:
@@ -139,61 +156,61 @@
                 else:
                     read = await self._read(sent)
             except (Unavailable, OutcomeUnknown) as error:
-                log.debug("view: %s", error)
+                log.debug("view: read failed: %s", error)
             except (msgspec.MsgspecError, ValueError):
-                log.exception("view: unreadable answer")
+                log.exception("view: unreadable answer from the state service")
             if read:
                 for future in served:
                     if not future.done():
                         future.set_result(None)
             else:
                 self._barriers = [future for future in served if not future.done()] + self._barriers
-            await self._pause(sent, read)
-
-    async def _pause(self, sent: timedelta, read: bool) -> None:
-        spent = self._clock.now() - sent
-        least = (self._eager - spent).total_seconds()
-        if least > 0:
-            await asyncio.sleep(least)
-        if not read:
+            await self._wait_before_next_read(sent, read)
+
+    async def _wait_before_next_read(self, sent: timedelta, succeeded: bool) -> None:
+        elapsed = self._clock.now() - sent
+        min_wait_s = (self._min_read_interval - elapsed).total_seconds()
+        if min_wait_s > 0:
+            await asyncio.sleep(min_wait_s)
+        if not succeeded:
             if self.phase is Phase.FOLLOWING:
-                await asyncio.sleep(self._steady.total_seconds())
+                await asyncio.sleep(self._read_interval.total_seconds())
             return
-        rest = (self._steady - (self._clock.now() - sent)).total_seconds()
-        if rest > 0 and not self._wanted.is_set():
-            await wait_for_event(self._wanted, timedelta(seconds=rest))
+        remaining_s = (self._read_interval - (self._clock.now() - sent)).total_seconds()
+        if remaining_s > 0 and not self._read_requested.is_set():
+            await wait_for_event(self._read_requested, timedelta(seconds=remaining_s))
 
-    async def _changes(self, sent: timedelta) -> tuple[Changes, timedelta]:
-        """All that is new, and when the read that brought it was sent.
+    async def _fetch_changes(self, sent: timedelta) -> tuple[Changes, timedelta]:
+        """Returns all new changes, and when the read that returned them was sent.
 
-        A service in trouble answers some requests late or never; a second read mostly comes
-        back at once. Waiting for the first alone made a leader give up its term (inc-8b9d).
+        A failing service answers some requests late or never, but usually answers a second read at
+        once. Waiting for the first read alone made a leader give up its term (inc-8b9d).
         """
-        reads = {self._ask(): sent}
+        reads = {self._start_read(): sent}
         try:
-            done, _ = await asyncio.wait(reads, timeout=ASK_AGAIN.total_seconds())
+            done, _ = await asyncio.wait(reads, timeout=READ_RETRY_AFTER.total_seconds())
             if not done:
-                reads[self._ask()] = self._clock.now()
+                reads[self._start_read()] = self._clock.now()
             waiting = set(reads)
             while True:
                 done, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-                good = [read for read in done if read.exception() is None]
-                if good or not waiting:
-                    read = (good or list(done))[0]
+                succeeded = [read for read in done if read.exception() is None]
+                if succeeded or not waiting:
+                    read = (succeeded or list(done))[0]
                     return read.result(), reads[read]
         finally:
             for read in reads:
                 if not read.cancel() and not read.cancelled():
-                    read.exception()  # a failure that comes after the answer is nobody's concern
+                    read.exception()  # marks a failure after the answer as retrieved, so that asyncio doesn't log it
 
-    def _ask(self) -> asyncio.Task[Changes]:
-        return asyncio.ensure_future(self._client.changes(records.PREFIX, self.revision, READ_WAIT))
+    def _start_read(self) -> asyncio.Task[Changes]:
+        return asyncio.ensure_future(self._client.changes(records.PREFIX, self.revision, READ_TIMEOUT))
 
     async def _read(self, sent: timedelta) -> bool:
         try:
-            changes, sent = await self._changes(sent)
+            changes, sent = await self._fetch_changes(sent)
         except RevisionCompacted:
-            log.info("view: too far behind, loading again")
+            log.info("view: the service no longer keeps the changes since the last read, loading all keys again")
             self.phase = Phase.LOADING
             return False
         for event in changes.events:
@@ -202,15 +219,15 @@
             elif event.delete is not None:
                 self.apply(event.delete, None, event.version)
         self.revision = max(self.revision, changes.revision)
-        if self._gone:
-            self._gone = {key: version for key, version in self._gone.items() if version > self.revision}
+        if self._tombstones:
+            self._tombstones = {key: version for key, version in self._tombstones.items() if version > self.revision}
         self.read_sent = sent
         for listener in self.on_read:
             listener()
         return True
 
     async def _load(self) -> None:
-        """Reads all keys; the first page's revision is where following begins."""
+        """Reads all keys, page by page; changes are then read from the first page's revision on."""
         revision: int | None = None
         since: str | None = None
         items: list[Item] = []
@@ -223,7 +240,7 @@
                 break
             since = page.items[-1].key
         found = {item.key for item in items}
-        for key, version in self._known():
+        for key, version in self._known_versions():
             if key not in found and version <= revision:
                 self.apply(key, None, revision)
         for item in items:
@@ -232,18 +249,19 @@
         self.phase = Phase.FOLLOWING
         log.info("view: loaded %d keys at revision %d", len(items), revision)
 
-    def _known(self) -> list[tuple[str, int]]:
-        known = [(records.job_key(job), entry.version) for job, entry in self.jobs.items()]
-        known += [(records.node_key(node), version) for node, version in self.nodes.items()]
-        known += [(key, version) for key, (_, version) in self.roster.items()]
-        return known
+    def _known_versions(self) -> list[tuple[str, int]]:
+        """Key and version of each unfinished job, node and roster group in the view."""
+        versions = [(records.job_key(job), entry.version) for job, entry in self.jobs.items()]
+        versions += [(records.node_key(node), version) for node, version in self.nodes.items()]
+        versions += [(key, version) for key, (_, version) in self.roster.items()]
+        return versions
 
     def apply(self, key: str, value: bytes | None, version: int) -> None:
-        """One change; an older one than is known already has no effect."""
-        if self._gone.get(key, -1) >= version:
+        """Applies one change; ``value`` None is a deletion. Changes older than the known version have no effect."""
+        if self._tombstones.get(key, -1) >= version:
             return
         if value is None and version > self.revision:
-            self._gone[key] = version
+            self._tombstones[key] = version
         if key.startswith(records.JOBS):
             self._apply_job(key[len(records.JOBS) :], value, version)
         elif key.startswith(records.NODES):
@@ -268,10 +286,10 @@
         try:
             record = msgspec.json.decode(value, type=JobRecord)
         except msgspec.MsgspecError as error:
-            # One record that can't be read must not keep all others from being followed, nor the writes of
-            # others that would share a transaction with it.
+            # A single unreadable record must neither prevent the view from following the other records nor prevent
+            # writes of other jobs that would share a transaction with it.
             if job not in self.unreadable:
-                log.error("record of %s can't be read: %s", job, error)
+                log.error("job record of %s can't be decoded: %s", job, error)
                 self.unreadable.add(job)
                 self.jobs.pop(job, None)
                 for listener in self.on_job:
@@ -281,9 +299,9 @@
         if record.status.final:
             self.jobs.pop(job, None)
             self._chunks.pop(job, None)
-            kept = records.footprint(record.spec)
-            kept = self._footprints.setdefault(kept, kept)
-            self.final[job] = FinalRecord(record.status, record.spec.tasks, version, kept)
+            footprint = records.footprint(record.spec)
+            footprint = self._footprints.setdefault(footprint, footprint)
+            self.final[job] = FinalRecord(record.status, record.spec.tasks, version, footprint)
         else:
             finished = TaskSet(record.spec.tasks)
             if record.spilled:
@@ -317,7 +335,7 @@
             self.roster[key] = (msgspec.json.decode(value, type=RosterRecord), version)
 
     def rostered_machines(self) -> list[tuple[str, str, str, bool]]:
-        """Name, type, zone and kind of every machine that may run tasks."""
+        """Name, type, zone and whether it is a spot machine, of every machine that may run tasks."""
         return [(name, group.type, group.zone, group.spot) for group, _ in self.roster.values() for name in group.names]
 
     def _apply_chunk(self, name: str, value: bytes | None, version: int) -> None:
@@ -336,14 +354,16 @@
             entry.finished.merge(bits, chunk * records.chunk_bytes(self._client.value_bytes))
 
     def session_alive(self, claimant: records.Claimant) -> bool:
+        """Whether the claimant's session is still open."""
         return self.nodes.get(claimant.node) == claimant.session
 
     def final_spec(self, job: str) -> JobSpec | None:
-        """What is kept of the description of a job that is over."""
+        """The partial description kept of an ended job; None if the job is not known to have ended."""
         final = self.final.get(job)
         return final.footprint.spec(job, final.tasks) if final is not None else None
 
     def status_of(self, job: str) -> JobStatus | None:
+        """The status in the job's record; None if the view has none."""
         if job in self.final:
             return self.final[job].status
         entry = self.jobs.get(job)
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -78,7 +78,7 @@
     view = job_api._view
     expiring = asyncio.ensure_future(job_api.run_status_requests())
     asked: list[Answer | asyncio.Future[Answer]] = [job_api.status("wk-000001"), job_api.status("wk-000002")]
-    served, view._barriers, view._shared = view._barriers, [], None  # the first read is sent
+    served, view._barriers, view._shared_barrier = view._barriers, [], None  # the first read is sent
     asked.append(job_api.status("wk-000001"))
     by: list[tuple[int, int] | None] = [None] * 3
     for read in (1, 2):
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -9,7 +9,7 @@
 from gingerspar.protocol.messages import Changes, JobStatus, parse_job
 from gingerspar.storage.client import Unavailable
 from gingerspar.storage.records import JobRecord, pack
-from gingerspar.storage.view import ASK_AGAIN, Phase, WatchedView
+from gingerspar.storage.view import READ_RETRY_AFTER, Phase, WatchedView
 from gingerspar.transport.clock import Clock
 from tests.standins.cluster import job
 
@@ -46,13 +46,13 @@
     """inc-8b9d: reads that took over a second made the leader's view too old, and it gave up its term."""
     sent, there, asked = asyncio.run(_read(_Client(30.0, 0.01)))
     assert asked == 2
-    assert sent == pytest.approx(ASK_AGAIN.total_seconds(), abs=0.1)  # not the time of the first one
+    assert sent == pytest.approx(READ_RETRY_AFTER.total_seconds(), abs=0.1)  # not the time of the first one
     assert there < 1.0
 
 
 def test_the_first_read_counts_from_when_it_was_sent() -> None:
     """Authority is counted from the sending of the read that brought the view up to date."""
-    sent, _, asked = asyncio.run(_read(_Client(ASK_AGAIN.total_seconds() + 0.1, 30.0)))
+    sent, _, asked = asyncio.run(_read(_Client(READ_RETRY_AFTER.total_seconds() + 0.1, 30.0)))
     assert asked == 2
     assert sent == 0.0
 
