--- a/gingerspar/protocol/__init__.py
+++ b/gingerspar/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What travels: messages, settings and the names they use on the wire."""
+"""Messages, settings, and the names that they use on the wire."""
--- a/gingerspar/protocol/names.py
+++ b/gingerspar/protocol/names.py
@@ -1,4 +1,4 @@
-"""Words that appear on the wire, and the paths. They are used in no other layer."""
+"""Field names on the wire and paths of HTTP requests. Outside this package no code spells out wire field names."""
 
 from typing import Final
 
--- a/gingerspar/protocol/peers.py
+++ b/gingerspar/protocol/peers.py
@@ -1,4 +1,8 @@
-"""What controllers say to one another (netstrings of JSON, tagged)."""
+"""Messages between controllers: JSON objects with a ``type`` tag, sent as netstrings.
+
+The attributes are the names on the wire, so they can't be renamed. ``node`` is the sender, and ``term`` the
+latest term that the sender knows or holds.
+"""
 
 from datetime import timedelta
 
@@ -6,17 +10,17 @@
 
 
 class Heartbeat(msgspec.Struct, tag="heartbeat"):
-    """How a node fares, several times a second."""
+    """Status of a node, sent several times per second."""
 
     node: str
     term: int
-    dispatching: bool
-    state_age_s: float  # since the sending of its last successful read of the state service
-    workers: int  # reports that reached it within the last few seconds
-    heard: list[str] = []  # nodes that it has heard lately
-    writes: float = 0.0  # changes a second that it would like to write to the state service
-    up_s: float | None = None  # since its process began; None: it is of a version that doesn't say
-    reaches: bool | None = None  # the workers; None: it can't tell
+    dispatching: bool  # whether it commands the machines
+    state_age_s: float  # time since it sent its last successful read of the state service
+    workers: int  # number of workers that reported to it within the last few seconds
+    heard: list[str] = []  # nodes from which it has received heartbeats recently
+    writes: float = 0.0  # changes per second that it requests to write to the state service
+    up_s: float | None = None  # time since its process started; None: sent by a release without this field
+    reaches: bool | None = None  # whether it reaches the workers; None: not known
 
     @property
     def state_age(self) -> timedelta:
@@ -24,59 +28,59 @@
 
 
 class Counts(msgspec.Struct, tag="counts"):
-    """The dispatcher's count of running tasks by job, for display, and where some machines can be asked."""
+    """Sent by the leader: running tasks for status answers to users, and addresses of some workers for probes."""
 
     node: str
     term: int
-    running: dict[str, int]
-    addresses: list[str] = []
+    running: dict[str, int]  # by job: number of running tasks
+    addresses: list[str] = []  # HOST:PORT
 
 
 class Handover(msgspec.Struct, tag="handover"):
-    """A committed claim or cancellation, handed to a peer ahead of its watched view."""
+    """A committed claim or cancellation of a job, sent so that the peer need not wait for its next read."""
 
     node: str
     term: int
-    key: str
+    key: str  # of the record in the state service
     version: int
     record: msgspec.Raw
 
 
 class Finished(msgspec.Struct, tag="finished"):
-    """The dispatcher tells the claimant which tasks of its jobs are done."""
+    """Sent by the leader to a claimant: the tasks of its jobs that are done."""
 
     node: str
     term: int
-    jobs: dict[str, list[int]]
+    jobs: dict[str, list[int]]  # by job: task numbers
 
 
 class Reclaim(msgspec.Struct, tag="reclaim"):
-    """The dispatcher needs a new attempt of a job before any new start."""
+    """Sent by the leader: the job must be claimed again, for a new attempt, before any of its tasks is started."""
 
     node: str
     term: int
     job: str
-    attempt: int
+    attempt: int  # the job's current attempt, which the new one replaces
 
 
 class Relay(msgspec.Struct, tag="relay"):
-    """A user's request that this node can't serve, for a peer that can."""
+    """A user's request that the sender can't serve, forwarded to a peer that can."""
 
     node: str
-    number: int
-    method: str
+    number: int  # identifies the request; the answer repeats it
+    method: str  # of the HTTP request
     path: str
     body: str
 
 
 class Relayed(msgspec.Struct, tag="relayed"):
-    """What the peer answered."""
+    """The answer to a ``Relay``."""
 
     node: str
-    number: int
-    status: int
+    number: int  # of the ``Relay``
+    status: int  # HTTP status
     body: str
-    retry_after: str | None = None
+    retry_after: str | None = None  # value of the Retry-After header
 
 
 Message = Heartbeat | Counts | Handover | Finished | Reclaim | Relay | Relayed
@@ -86,9 +90,11 @@
 
 
 def pack(message: Message) -> bytes:
+    """Encodes a message, without the netstring's frame."""
     return _encoder.encode(message)
 
 
 def unpack(data: bytes) -> Message:
+    """Decodes a message. Raises ``msgspec.MsgspecError``."""
     message: Message = _decoder.decode(data)
     return message
