--- a/gingerspar/protocol/names.py
+++ b/gingerspar/protocol/names.py
@@ -1,4 +1,4 @@
-"""Field names on the wire and paths of HTTP requests. Outside this package no code spells out wire field names."""
+"""Field names on the wire and paths of HTTP requests. Other packages use the attribute names of the messages."""
 
 from typing import Final
 
