--- a/gingerspar/coordination/machines/__init__.py
+++ b/gingerspar/coordination/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Machines from the cloud: planning, renting, and the roster of those that may run tasks."""
+"""Cloud machines: how many to rent or return, calls to the cloud, and the roster of machines that may run tasks."""
--- a/gingerspar/coordination/machines/cloud.py
+++ b/gingerspar/coordination/machines/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's interface, within this node's share of its rate."""
+"""Client of the cloud's machine API, limited to this node's share of the cloud's request rate."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -12,21 +12,25 @@
 
 
 class CloudError(Exception):
-    """No usable answer; a rental may have been carried out all the same."""
+    """The cloud gave no usable answer; a rental may have been carried out nevertheless."""
 
 
 class NotPermitted(Exception):
-    """The order was not sent: whoever gave it may not any more."""
+    """The request was not sent because its caller is no longer permitted to make it."""
 
 
 class NoCapacity(Exception):
-    """None of these machines is to be had now."""
+    """The cloud has no machines of the requested type, zone and purchase kind at present."""
 
 
 class CloudClient:
-    """Calls to the cloud. The dispatcher makes nearly all of them."""
+    """Sends requests to the cloud. The dispatcher makes nearly all of them.
 
-    SHARE = 0.7  # of the cloud's rate; the rest is for other nodes' catalogs and a former leader
+    Each method waits for this node's request budget, and raises ``CloudError`` when the cloud does not
+    answer with success.
+    """
+
+    SHARE = 0.7  # of the cloud's request rate; the rest is for other nodes' catalog reads and a previous leader
 
     def __init__(self, address: str, clock: Clock, rps: float) -> None:
         self._client = Client(address, connect_timeout=timedelta(seconds=3))
@@ -58,24 +62,32 @@
         raise CloudError(f"{method} {path}: {status} {answer[:200]!r}")
 
     async def catalog(self) -> list[MachineType]:
+        """Reads the machine types that the cloud offers."""
         return messages.decode(messages.Catalog, await self._call("GET", names.PATH_CATALOG)).types
 
     async def rent(self, request: messages.RentRequest, permit: Callable[[], bool]) -> list[str]:
-        """``permit`` is asked once the request's turn has come, which may be seconds later."""
+        """Rents machines; returns their names.
+
+        ``permit`` is called when the request is about to be sent, which may be seconds after this call
+        because requests wait for the budget. Raises ``NotPermitted`` if it returns false, and
+        ``NoCapacity`` if the cloud has no such machines.
+        """
         answer = await self._call("POST", names.PATH_MACHINES, messages.encode(request), urgent=True, permit=permit)
         return messages.decode(messages.MachineNames, answer).machines
 
     async def return_machines(self, machines: list[str], permit: Callable[[], bool]) -> None:
+        """Returns machines to the cloud. ``permit`` is as for ``rent``."""
         body = messages.encode(messages.MachineNames(machines))
         await self._call("POST", names.PATH_RETURN, body, permit=permit)
 
     async def machines(self) -> list[ListedMachine]:
-        found: list[ListedMachine] = []
+        """Lists all machines that the cloud has rented to this cluster, page by page."""
+        listed: list[ListedMachine] = []
         since = ""
         while True:
             path = f"{names.PATH_MACHINES}?Most=500" + (f"&Since={quote(since)}" if since else "")
             page = messages.decode(messages.MachineList, await self._call("GET", path))
-            found += page.machines
+            listed += page.machines
             if not page.more or not page.machines:
-                return found
+                return listed
             since = page.machines[-1].machine
--- a/gingerspar/coordination/machines/fleet.py
+++ b/gingerspar/coordination/machines/fleet.py
@@ -1,4 +1,7 @@
-"""How many machines of which kind: pure planning over the books."""
+"""Plans how many machines of each offer (machine type, zone and purchase kind) to rent and which to return.
+
+Reads the cluster state only; the caller sends the requests to the cloud.
+"""
 
 import logging
 import math
@@ -17,136 +20,149 @@
 
 log = logging.getLogger(__name__)
 
-MOST_RENTED_AT_ONCE = 50
-FIRST_REFUSAL = timedelta(seconds=4)
-MOST_REFUSAL = timedelta(seconds=30)
-LEAST_PATIENCE = 0.1  # of the boot time, for machines that nothing here needs
-LEAST_TRADE = timedelta(seconds=20)  # a third of the minute that a rental costs at the least
-SPARE_FOR = 0.5  # of the time that a machine may idle, for as many as were never in use at once
-WARMTH = 4  # fetches of an urgent class's image that a cheap machine is kept for
-UNDERUSED_PRICE_RATIO = 3.0  # times the price of a place on the cheapest machine
-FULL_ENOUGH = 0.75
-WORTH_ANY_PRICE = timedelta(seconds=20)  # work that has waited so long gets whatever there is
-FREE_STEP = timedelta(seconds=4)  # spans are rounded up to it, so that sums are shared
-BEGUN_KEPT = 3  # machines begun but not full that are remembered for each offer
+MOST_RENTED_AT_ONCE = 50  # machines of one offer that one planning round rents at most
+FIRST_REFUSAL_PAUSE = timedelta(seconds=4)  # before an offer is requested again after a first refusal; then doubled
+MAX_REFUSAL_PAUSE = timedelta(seconds=30)
+MIN_IDLE_LIMIT_RATIO = 0.1  # of the boot time: idle limit of machines that no present job needs
+MIN_BREAK_EVEN = timedelta(seconds=20)  # a third of the minute that a rental costs at minimum
+SURPLUS_WINDOW_RATIO = 0.5  # of the idle limit: as many machines as were idle throughout it are surplus
+KEEP_WARM_FETCHES = 4  # times the fetch of an urgent class's image, added to the idle limit of a cheap machine
+UNDERUSED_PRICE_RATIO = 3.0  # times the price of a slot on the cheapest machine
+MIN_USED_SHARE = 0.75  # of a machine's slots; below it the machine counts as underused
+ANY_PRICE_AFTER = timedelta(seconds=20)  # work that has waited longer than this gets underused machines at any price
+EXPECTED_CAPACITY_STEP = timedelta(seconds=4)  # durations are rounded up to it, so that sums can be shared
+MAX_PARTIAL_MACHINES = 3  # partly filled machines that are remembered for each offer
 
 
 @dataclass(slots=True)
 class Refusals:
-    """Offers that the cloud refused lately."""
+    """Offers that the cloud refused recently, and when each may be requested again.
+
+    The pause doubles with each refusal in a row, up to ``MAX_REFUSAL_PAUSE``.
+    """
 
-    until: dict[Offer, timedelta] = field(default_factory=dict)
-    pause: dict[Offer, timedelta] = field(default_factory=dict)
+    closed_until: dict[Offer, timedelta] = field(default_factory=dict)
+    next_pause: dict[Offer, timedelta] = field(default_factory=dict)
 
     def refused(self, offer: Offer, now: timedelta) -> None:
-        pause = self.pause.get(offer, FIRST_REFUSAL)
-        self.until[offer] = now + pause
-        self.pause[offer] = min(pause * 2, MOST_REFUSAL)
+        pause = self.next_pause.get(offer, FIRST_REFUSAL_PAUSE)
+        self.closed_until[offer] = now + pause
+        self.next_pause[offer] = min(pause * 2, MAX_REFUSAL_PAUSE)
 
     def granted(self, offer: Offer) -> None:
-        self.pause.pop(offer, None)
-        self.until.pop(offer, None)
+        self.next_pause.pop(offer, None)
+        self.closed_until.pop(offer, None)
 
     def is_open(self, offer: Offer, now: timedelta) -> bool:
-        return self.until.get(offer, now) <= now
+        return self.closed_until.get(offer, now) <= now
 
 
 class MachineBins:
-    """Machines of one offer that boot or are about to be rented, filled in thought."""
+    """Simulated filling of the machines of one offer that are booting or planned for rental."""
 
     def __init__(self, offer: Offer, kind: MachineType) -> None:
         self.offer = offer
         self._kind = kind
-        self._empty = 0
-        self._begun: list[tuple[float, float, float]] = []  # what is left on some that are partly filled
+        self._empty_count = 0
+        self._partial: list[tuple[float, float, float]] = []  # free (CPUs, GPUs, GB) of some partly filled machines
 
     def add(self, count: int) -> None:
-        self._empty += count
+        self._empty_count += count
 
     def place(self, spec: JobSpec, count: int) -> int:
-        """Finds places for up to ``count`` tasks; how many it found."""
-        found = 0
-        for place, (cpus, gpus, memory) in enumerate(self._begun):
-            take = min(fits(spec, cpus, gpus, memory), count - found)
-            if take > 0:
-                self._begun[place] = _less((cpus, gpus, memory), spec, take)
-                found += take
-        full = scoring.task_capacity(self._kind, spec)
-        while found < count and self._empty and full:
-            whole = min((count - found) // full, self._empty)
-            if whole:
-                self._empty -= whole
-                found += whole * full
-                left = full
+        """Places up to ``count`` tasks; returns how many found a slot."""
+        placed = 0
+        for index, (cpus, gpus, memory) in enumerate(self._partial):
+            fitting = min(fits(spec, cpus, gpus, memory), count - placed)
+            if fitting > 0:
+                self._partial[index] = _subtract((cpus, gpus, memory), spec, fitting)
+                placed += fitting
+        per_machine = scoring.task_capacity(self._kind, spec)
+        while placed < count and self._empty_count and per_machine:
+            filled = min((count - placed) // per_machine, self._empty_count)
+            if filled:
+                self._empty_count -= filled
+                placed += filled * per_machine
+                on_last = per_machine
             else:
-                self._empty -= 1
-                left = count - found
-                found += left
-            rest = _less((self._kind.cpus, self._kind.gpus, self._kind.memory_gb), spec, left)
-            self._begun = [rest, *self._begun][:BEGUN_KEPT]
-        return found
+                self._empty_count -= 1
+                on_last = count - placed
+                placed += on_last
+            remainder = _subtract((self._kind.cpus, self._kind.gpus, self._kind.memory_gb), spec, on_last)
+            self._partial = [remainder, *self._partial][:MAX_PARTIAL_MACHINES]
+        return placed
 
 
-def _less(room: tuple[float, float, float], spec: JobSpec, count: int) -> tuple[float, float, float]:
-    cpus, gpus, memory = room
+def _subtract(free: tuple[float, float, float], spec: JobSpec, count: int) -> tuple[float, float, float]:
+    cpus, gpus, memory = free
     return cpus - spec.cpus * count, gpus - spec.gpus * count, memory - spec.memory_gb * count
 
 
 class ExpectedCapacity:
-    """Room that running tasks will probably leave before a machine rented now could be up."""
+    """Capacity that running tasks will probably release before a machine rented now could be up."""
 
     def __init__(self, cluster_state: ClusterState, now: timedelta) -> None:
         self._cluster_state = cluster_state
         self._now = now
-        self._spans = RunTimes(cluster_state.estimates.run_time)
-        self._taken: dict[Offer, Usage] = {}
+        self._run_times = RunTimes(cluster_state.estimates.run_time)
+        self._reserved: dict[Offer, Usage] = {}
         self._sums: dict[tuple[Offer, timedelta], Usage] = {}
         self._offers = cluster_state.expected_releases.offers()
 
-    def _until(self, offer: Offer, span: timedelta) -> Usage:
-        """What is released there within the span; work past its estimate is about to end."""
-        step = math.ceil(span / FREE_STEP) * FREE_STEP
-        total = self._sums.get((offer, step))
+    def _released_within(self, offer: Offer, duration: timedelta) -> Usage:
+        """What is expected to be released on this offer's machines within the duration.
+
+        A task that has run longer than its estimate is expected to end at once.
+        """
+        rounded = math.ceil(duration / EXPECTED_CAPACITY_STEP) * EXPECTED_CAPACITY_STEP
+        total = self._sums.get((offer, rounded))
         if total is None:
-            by = self._now + step
-            total = self._sums[(offer, step)] = self._cluster_state.expected_releases.released(offer, by, self._spans)
-            for machine in self._cluster_state.pool.in_states(MachineState.LEAVING):  # takes nothing more
+            by = self._now + rounded
+            total = self._sums[(offer, rounded)] = self._cluster_state.expected_releases.released(
+                offer, by, self._run_times
+            )
+            for machine in self._cluster_state.pool.in_states(MachineState.LEAVING):  # they start no new tasks
                 if (machine.type, machine.zone, machine.spot) == offer:
                     for placement in machine.live.values():
                         since = placement.running_since
-                        if since is not None and since + self._spans.of(placement.spec) <= by:
+                        if since is not None and since + self._run_times.of(placement.spec) <= by:
                             total.add(placement.spec, -1)
         return total
 
-    def place(self, spec: JobSpec, count: int, span: timedelta) -> int:
-        """Takes places for up to ``count`` tasks from what is left; how many it found."""
-        found = 0
-        for offer in self._offers if span > NOTHING else ():
-            if found >= count:
+    def place(self, spec: JobSpec, count: int, duration: timedelta) -> int:
+        """Reserves slots for up to ``count`` tasks in what is not reserved yet; returns how many it found."""
+        placed = 0
+        for offer in self._offers if duration > NOTHING else ():
+            if placed >= count:
                 break
             if not allows(spec, *offer):
                 continue
-            coming, taken = self._until(offer, span), self._taken.setdefault(offer, Usage())
-            places = fits(spec, coming.cpus - taken.cpus, coming.gpus - taken.gpus, coming.memory_gb - taken.memory_gb)
-            places = min(places, count - found)
-            taken.add(spec, places)
-            found += places
-        return found
+            expected, reserved = self._released_within(offer, duration), self._reserved.setdefault(offer, Usage())
+            slots = fits(
+                spec,
+                expected.cpus - reserved.cpus,
+                expected.gpus - reserved.gpus,
+                expected.memory_gb - reserved.memory_gb,
+            )
+            slots = min(slots, count - placed)
+            reserved.add(spec, slots)
+            placed += slots
+        return placed
 
 
 def plan_rentals(cluster_state: ClusterState, refusals: Refusals, now: timedelta) -> dict[Offer, int]:
-    """Machines to rent for the open tasks that find no room, nor will on those that boot."""
+    """Machines to rent for open tasks that have no free capacity and will have none on machines that are booting."""
     plan = _Plan(cluster_state, refusals, now)
-    if not plan.open:
-        return {}  # whatever waits, nothing is to be had now
+    if not plan.available:
+        return {}  # no offer is open, so nothing can be rented whatever is waiting
     for run in cluster_state.backlog:
         if not cluster_state.blocked_by_unsettled(run):
-            plan.serve(run)
+            plan.add_run(run)
     return plan.rent
 
 
 class _Plan:
-    """What is to be rented now, worked out run by run."""
+    """The machines to rent now, added up job by job."""
 
     def __init__(self, cluster_state: ClusterState, refusals: Refusals, now: timedelta) -> None:
         self.rent: dict[Offer, int] = {}
@@ -154,33 +170,33 @@
         self._types = cluster_state.types
         self._refusals = refusals
         self._now = now
-        self.open = {
+        self.available = {
             (kind.name, zone, spot)
             for kind in cluster_state.types.values()
             for zone in kind.zones
             for spot in ((True, False) if kind.spot_price is not None else (False,))
             if refusals.is_open((kind.name, zone, spot), now)
         }
-        self._promised: dict[str, Usage] = {}  # by team, of its limit: to jobs served before
-        self._coming: ExpectedCapacity | None = None
+        self._planned_usage: dict[str, Usage] = {}  # by team: the part of its limit planned for earlier jobs
+        self._expected: ExpectedCapacity | None = None
         self._bins: dict[Offer, MachineBins] = {}
         for machine in cluster_state.pool.in_states(MachineState.BOOTING):
             if machine.kind is not None:
-                self._bin((machine.type, machine.zone, machine.spot)).add(1)
+                self._bins_for((machine.type, machine.zone, machine.spot)).add(1)
 
-    def _bin(self, offer: Offer) -> MachineBins:
-        found = self._bins.get(offer)
-        if found is None:
-            found = self._bins[offer] = MachineBins(offer, self._types[offer[0]])
-        return found
+    def _bins_for(self, offer: Offer) -> MachineBins:
+        bins = self._bins.get(offer)
+        if bins is None:
+            bins = self._bins[offer] = MachineBins(offer, self._types[offer[0]])
+        return bins
 
-    def serve(self, run: JobRun) -> None:
+    def add_run(self, run: JobRun) -> None:
         spec = run.spec
-        promised = self._promised.setdefault(spec.team, Usage())
-        left = min(len(run.open), self._cluster_state.team_headroom(spec, promised))
+        planned_usage = self._planned_usage.setdefault(spec.team, Usage())
+        left = min(len(run.open), self._cluster_state.team_headroom(spec, planned_usage))
         if run.is_gang and left < len(run.open):
-            return  # it waits for its team's limit
-        promised.add(spec, left)
+            return  # the whole gang waits until its team's limit allows all its tasks
+        planned_usage.add(spec, left)
         options = self._cluster_state.machine_options(spec)
         if spec.one_zone and run.places:
             zone = run.live[0].machine.zone
@@ -190,127 +206,143 @@
                 left -= self._bins[option.offer].place(spec, left)
         if left <= 0:
             return
-        options = [option for option in options if not self._too_dear(run, option)]
+        options = [option for option in options if not self._is_too_expensive(run, option)]
         left = self._add(run, left, [option for option in options if option.offer[2]])
         if not run.is_gang:
-            # A place that comes free is taken instead of a machine that would be up no sooner, as far
-            # as the job has the time; a dear one that would be up later is not rented in any case.
-            spare = self._cluster_state.slack(run, self._now)
-            left -= self._put_coming(spec, left, min(spare, _boot(options)))
+            # A slot that will be released is used instead of a machine that would be up no sooner, if the
+            # job's slack allows it. An expensive machine that would be up later is not rented in any case.
+            slack = self._cluster_state.slack(run, self._now)
+            left -= self._place_on_expected(spec, left, min(slack, _boot_time(options)))
             left = self._add(run, left, [option for option in options if not option.expensive])
-            left -= self._put_coming(spec, left, _boot([option for option in options if option.expensive]))
+            left -= self._place_on_expected(spec, left, _boot_time([option for option in options if option.expensive]))
         self._add(run, left, options)
 
-    def _put_coming(self, spec: JobSpec, left: int, span: timedelta) -> int:
-        if left <= 0 or span <= NOTHING:
+    def _place_on_expected(self, spec: JobSpec, left: int, duration: timedelta) -> int:
+        """Places tasks on capacity that is expected within the duration; returns how many found a slot."""
+        if left <= 0 or duration <= NOTHING:
             return 0
-        if self._coming is None:
-            self._coming = ExpectedCapacity(self._cluster_state, self._now)
-        return self._coming.place(spec, left, span)
+        if self._expected is None:
+            self._expected = ExpectedCapacity(self._cluster_state, self._now)
+        return self._expected.place(spec, left, duration)
 
     def _add(self, run: JobRun, left: int, options: list[MachineOption]) -> int:
-        """Adds machines for a run's tasks; how many find none."""
-        if not any(option.offer in self.open for option in options):
+        """Adds machines to the plan for a run's tasks; returns how many tasks remain without one."""
+        if not any(option.offer in self.available for option in options):
             return left
-        least = min(option.cost for option in options)
+        min_cost = min(option.cost for option in options)
         while left > 0:
-            best = self._cheapest(run, left, options, least)
+            best = self._cheapest(run, left, options, min_cost)
             if best is None:
                 break
             offer = best.offer
             count = min(max(left // best.tasks_per_machine, 1), MOST_RENTED_AT_ONCE - self.rent.get(offer, 0))
             self.rent[offer] = self.rent.get(offer, 0) + count
-            log.debug("%d %s for %s %s", count, "/".join(map(str, offer)), run.spec.jobclass, run.spec.job)
-            self._bin(offer).add(count)
-            left -= self._bin(offer).place(run.spec, left)
+            log.debug(
+                "planned rental: %d %s for %s %s", count, "/".join(map(str, offer)), run.spec.jobclass, run.spec.job
+            )
+            self._bins_for(offer).add(count)
+            left -= self._bins_for(offer).place(run.spec, left)
         return left
 
-    def _too_dear(self, run: JobRun, option: MachineOption) -> bool:
-        """A dear machine that the job doesn't need, or that would come too late for it."""
+    def _is_too_expensive(self, run: JobRun, option: MachineOption) -> bool:
+        """Whether the option is an expensive machine that the job does not need or that would be up too late for it."""
         return option.expensive and self._cluster_state.can_wait(run, self._now, timedelta(seconds=option.kind.boot_s))
 
-    def _cheapest(self, run: JobRun, left: int, options: list[MachineOption], least: float) -> MachineOption | None:
-        patient = run.spec.priority.rank > Priority.HIGH.rank and not (
-            run.waiting_since is not None and self._now - run.waiting_since > WORTH_ANY_PRICE
+    def _cheapest(self, run: JobRun, left: int, options: list[MachineOption], min_cost: float) -> MachineOption | None:
+        can_wait = run.spec.priority.rank > Priority.HIGH.rank and not (
+            run.waiting_since is not None and self._now - run.waiting_since > ANY_PRICE_AFTER
         )
         best: MachineOption | None = None
         best_cost = float("inf")
         for option in options:
-            if option.offer not in self.open:
+            if option.offer not in self.available:
                 continue
             slots = min(option.tasks_per_machine, left)
             cost = option.kind.cost(option.offer[2]) / slots
-            if patient and slots < FULL_ENOUGH * option.tasks_per_machine and cost > UNDERUSED_PRICE_RATIO * least:
-                continue  # a dear machine that would stand mostly empty: wait for places here
+            if (
+                can_wait
+                and slots < MIN_USED_SHARE * option.tasks_per_machine
+                and cost > UNDERUSED_PRICE_RATIO * min_cost
+            ):
+                continue  # an expensive machine that would be mostly empty: the tasks wait for slots instead
             if cost < best_cost:
                 best, best_cost = option, cost
         if best is not None and self.rent.get(best.offer, 0) >= MOST_RENTED_AT_ONCE:
-            return None  # there may be more of these: the next round asks, before dearer ones are taken
+            return None  # the cloud may have more of these: the next round rents them before more expensive ones
         return best
 
 
-def _boot(options: list[MachineOption]) -> timedelta:
+def _boot_time(options: list[MachineOption]) -> timedelta:
     return min((timedelta(seconds=option.kind.boot_s) for option in options), default=NOTHING)
 
 
-def _patience(
-    kind: MachineType, offer: Offer, specs: Iterable[JobSpec], cluster_state: ClusterState, most: timedelta
+def _idle_limit(
+    kind: MachineType, offer: Offer, specs: Iterable[JobSpec], cluster_state: ClusterState, max_idle: timedelta
 ) -> timedelta:
-    """How long a machine may idle.
+    """How long a machine may stay idle before it is returned to the cloud.
 
-    Giving it back too soon wastes one boot, keeping it wastes the time kept: its boot
-    time is the even trade, or if that is short a part of the minute that its successor
-    costs. A machine whose places cost more than another ordinary machine's is the less
-    likely to be needed again.
+    Returning it too soon wastes one boot, keeping it wastes the time that it is kept. The two
+    break even at its boot time or, if that is short, at a part of the minute that its successor
+    costs. A machine whose slots cost more than those of another ordinary machine is less
+    likely to be needed again, so its limit is lower.
     """
-    best = 0.0
-    warm = timedelta(0)
+    best_price_ratio = 0.0
+    image_fetch = timedelta(0)
     for spec in specs:
-        mine = scoring.cost_per_task(kind, offer[2], spec)
-        if allows(spec, *offer) and mine != math.inf:
-            # Against ordinary machines: a spot machine that was given back is seldom to be had again.
+        cost = scoring.cost_per_task(kind, offer[2], spec)
+        if allows(spec, *offer) and cost != math.inf:
+            # Compared with ordinary machines, as a returned spot machine can seldom be rented again.
             cheapest = min(scoring.cost_per_task(other, False, spec) for other in cluster_state.types.values())
-            share = min(cheapest / max(mine, 1e-9), 1.0)
-            best = max(best, share)
-            if spec.priority.rank <= Priority.HIGH.rank and share > 0.9 and spec.image:
-                # Urgent work would wait for its images on a machine rented anew.
-                warm = max(warm, timedelta(seconds=spec.image_gb / max(kind.fetch_gb_per_s, 1e-3)))
+            price_ratio = min(cheapest / max(cost, 1e-9), 1.0)
+            best_price_ratio = max(best_price_ratio, price_ratio)
+            if spec.priority.rank <= Priority.HIGH.rank and price_ratio > 0.9 and spec.image:
+                # On a newly rented machine, urgent work would have to wait for its images.
+                image_fetch = max(image_fetch, timedelta(seconds=spec.image_gb / max(kind.fetch_gb_per_s, 1e-3)))
     return min(
-        most, max(timedelta(seconds=kind.boot_s), LEAST_TRADE) * max(best * best, LEAST_PATIENCE) + warm * WARMTH
+        max_idle,
+        max(timedelta(seconds=kind.boot_s), MIN_BREAK_EVEN)
+        * max(best_price_ratio * best_price_ratio, MIN_IDLE_LIMIT_RATIO)
+        + image_fetch * KEEP_WARM_FETCHES,
     )
 
 
 class IdleHistory:
-    """How many machines of each offer have been idle at the same time, whichever they were.
+    """How many machines of each offer have been idle at the same time, regardless of which ones.
 
-    Work moves among idle machines, so that each is used now and then though half of them
-    are never used at once.
+    Tasks move between idle machines, so each machine may be used now and then although half of
+    them are never in use at the same time.
     """
 
     def __init__(self) -> None:
         self._counts: dict[Offer, deque[tuple[timedelta, int]]] = {}
 
-    def min_idle(self, offer: Offer, count: int, now: timedelta, span: timedelta) -> int:
-        """Notes how many are idle now; how many always were within the span."""
+    def min_idle(self, offer: Offer, count: int, now: timedelta, window: timedelta) -> int:
+        """Records how many are idle now; returns the minimum over the window, 0 if the history is shorter than that."""
         counts = self._counts.setdefault(offer, deque())
         counts.append((now, count))
-        while len(counts) > 1 and counts[1][0] <= now - span:
+        while len(counts) > 1 and counts[1][0] <= now - window:
             counts.popleft()
-        return min(idle for _, idle in counts) if counts[0][0] <= now - span else 0
+        return min(idle for _, idle in counts) if counts[0][0] <= now - window else 0
 
     def reset_others(self, offers: Iterable[Offer]) -> None:
-        """Of all others none is idle now."""
+        """Clears the history of all other offers: none of their machines is idle now."""
         self._counts = {offer: self._counts[offer] for offer in offers if offer in self._counts}
 
     def machines_returned(self, offer: Offer, count: int) -> None:
+        """Subtracts the returned machines from each recorded count."""
         counts = self._counts[offer]
         self._counts[offer] = deque((when, max(idle - count, 0)) for when, idle in counts)
 
 
 def plan_returns(
-    cluster_state: ClusterState, idle_history: IdleHistory, now: timedelta, patience: timedelta
+    cluster_state: ClusterState, idle_history: IdleHistory, now: timedelta, max_idle: timedelta
 ) -> list[Machine]:
-    """Machines to give back: nothing runs on them and nothing has for a while."""
+    """Machines to return to the cloud.
+
+    These are lost machines, machines that are leaving and empty, machines that have been booting for
+    too long, and ready machines that have been idle for their idle limit (``max_idle`` at most) or
+    are surplus, unless a waiting job could use them.
+    """
     found = cluster_state.pool.in_states(MachineState.LOST)
     found += [m for m in cluster_state.pool.in_states(MachineState.LEAVING) if not m.live and m.notice is None]
     for machine in cluster_state.pool.in_states(MachineState.BOOTING):
@@ -318,26 +350,26 @@
         if now - machine.created > startup * 4 + timedelta(seconds=20):
             found.append(machine)
     specs = {run.spec.jobclass: run.spec for run in cluster_state.runs.values() if not run.ended}.values()
-    empty = _empty(cluster_state)
+    empty = _empty_machines(cluster_state)
     idle_history.reset_others(empty)
     for offer, machines in empty.items():
         kind = machines[0].kind
-        longest = patience if kind is None else _patience(kind, offer, specs, cluster_state, patience)
+        idle_limit = max_idle if kind is None else _idle_limit(kind, offer, specs, cluster_state, max_idle)
         machines.sort(key=lambda machine: (now if machine.idle_since is None else machine.idle_since, machine.name))
-        most = idle_history.min_idle(offer, len(machines), now, longest * SPARE_FOR)
-        back = [
+        surplus = idle_history.min_idle(offer, len(machines), now, idle_limit * SURPLUS_WINDOW_RATIO)
+        returnable = [
             machine
-            for place, machine in enumerate(machines)
-            if machine.idle_since is not None and (place < most or now - machine.idle_since >= longest)
+            for index, machine in enumerate(machines)
+            if machine.idle_since is not None and (index < surplus or now - machine.idle_since >= idle_limit)
         ]
-        if back and (kind is None or not _needed(cluster_state, offer, kind, now)):
-            idle_history.machines_returned(offer, len(back))
-            found += back
+        if returnable and (kind is None or not _is_needed(cluster_state, offer, kind, now)):
+            idle_history.machines_returned(offer, len(returnable))
+            found += returnable
     return found
 
 
-def _empty(cluster_state: ClusterState) -> dict[Offer, list[Machine]]:
-    """Ready machines with nothing on them and nothing booked."""
+def _empty_machines(cluster_state: ClusterState) -> dict[Offer, list[Machine]]:
+    """Ready machines by offer that have no tasks and no reserved capacity."""
     found: dict[Offer, list[Machine]] = {}
     for machine in cluster_state.pool.in_states(MachineState.READY):
         if machine.live or machine.reserved.cpus > 1e-6 or machine.reserved.gpus > 1e-6:
@@ -346,8 +378,8 @@
     return found
 
 
-def _needed(cluster_state: ClusterState, offer: Offer, kind: MachineType, now: timedelta) -> bool:
-    """Whether something that waits could use an empty machine of this offer."""
+def _is_needed(cluster_state: ClusterState, offer: Offer, kind: MachineType, now: timedelta) -> bool:
+    """Whether a waiting job could use an empty machine of this offer."""
     return any(
         allows(run.spec, *offer)
         and scoring.task_capacity(kind, run.spec) > 0
--- a/gingerspar/coordination/machines/roster.py
+++ b/gingerspar/coordination/machines/roster.py
@@ -1,8 +1,8 @@
-"""The roster: which machines may run tasks, kept in the state service.
+"""The roster: which machines may run tasks, stored in the state service.
 
-A machine is on it before its first `run`. Machines of one type, zone and kind share a
-key, as many as fit a value: a fleet that boots at once costs a few changes, not one
-for each machine.
+A machine is written to the roster before it gets its first ``run`` command. Machines of one
+offer (machine type, zone and purchase kind) share a key, as many as fit a value, so that a
+fleet that boots at once takes a few writes instead of one for each machine.
 """
 
 import asyncio
@@ -23,26 +23,32 @@
 
 log = logging.getLogger(__name__)
 
-STRIKE_AFTER = timedelta(seconds=3)  # machines that are gone may stay on the roster for so long
-TXN_BYTES = 48 * 1024
+MAX_REMOVAL_DELAY = timedelta(seconds=3)  # from the removal of a machine to the write that takes it off the roster
+MAX_TXN_BYTES = 48 * 1024
 
 
 def plan_groups(
     groups: dict[str, RosterRecord], new: Iterable[tuple[str, Offer]], gone: set[str], value_bytes: int
 ) -> dict[str, RosterRecord]:
-    """The groups that change when machines come and go, with their new members."""
+    """Returns the groups (by key) that change when machines are added and removed, with their new members.
+
+    New machines go into an existing group of their offer that has space, else into a new key.
+    ``value_bytes`` is the state service's limit for one value.
+    """
     members = {key: [name for name in group.names if name not in gone] for key, group in groups.items()}
     offers = {key: (group.type, group.zone, group.spot) for key, group in groups.items()}
     changed = {key for key, group in groups.items() if len(members[key]) != len(group.names)}
-    most = value_bytes - 512
+    max_names_bytes = value_bytes - 512
     sizes = {key: sum(len(name) + 3 for name in names) for key, names in members.items()}
-    number = 0
+    group_number = 0
     for name, offer in new:
-        fitting = (key for key in members if offers[key] == offer and sizes[key] + len(name) + 3 <= most)
-        key = next(fitting, "")
+        keys_with_space = (
+            key for key in members if offers[key] == offer and sizes[key] + len(name) + 3 <= max_names_bytes
+        )
+        key = next(keys_with_space, "")
         while not key:
-            candidate = f"{records.ROSTER}{number:04d}"
-            number += 1
+            candidate = f"{records.ROSTER}{group_number:04d}"
+            group_number += 1
             if candidate not in members:
                 key = candidate
                 members[key], offers[key], sizes[key] = [], offer, 0
@@ -53,7 +59,10 @@
 
 
 class Roster:
-    """Writes the roster for one term."""
+    """Writes the roster for one term.
+
+    ``on_written`` is called after each successful round of writes.
+    """
 
     def __init__(
         self,
@@ -61,31 +70,31 @@
         client: StateClient,
         view: WatchedView,
         session: Session,
-        enlisted: Callable[[], None],
+        on_written: Callable[[], None],
     ) -> None:
         self._term = term
         self._client = client
         self._view = view
         self._session = session
-        self._enlisted = enlisted
+        self._on_written = on_written
         self._new: dict[str, Machine] = {}
         self._gone: set[str] = set()
         self._wake = asyncio.Event()
 
     def add_machine(self, machine: Machine) -> None:
-        """A machine is up: tasks may be sent to it once it is on the roster."""
+        """Adds a machine that is up. Tasks may be sent to it once the roster is written."""
         if not machine.rostered and machine.name not in self._new:
             self._new[machine.name] = machine
             self._wake.set()
 
     def remove(self, names: Iterable[str]) -> None:
-        """Machines that are certainly gone."""
+        """Removes machines that certainly no longer run, with the next write or after ``MAX_REMOVAL_DELAY``."""
         self._gone.update(names)
 
     async def run(self) -> None:
         while True:
-            if await wait_for_event(self._wake, STRIKE_AFTER):
-                await asyncio.sleep(0.03)  # machines that boot at once come in together
+            if await wait_for_event(self._wake, MAX_REMOVAL_DELAY):
+                await asyncio.sleep(0.03)  # machines that boot at the same time share a write
             self._wake.clear()
             if self._new or self._gone:
                 await self._write()
@@ -97,9 +106,9 @@
         listed = {name for record, _ in self._view.roster.values() for name in record.names}
         for name, machine in list(self._new.items()):
             if not machine.settled:
-                del self._new[name]  # it has gone; if it comes back, it reports again
+                del self._new[name]  # the machine is gone; if it returns, it reports and is added again
             elif name in listed:
-                del self._new[name]  # a write without an answer has been applied
+                del self._new[name]  # an earlier write without an answer was applied
                 machine.mark_rostered()
         new = dict(self._new)
         gone = set(self._gone)
@@ -112,7 +121,7 @@
         for key, record in changed.items():
             put = Put(key, records.pack(record))
             size += len(put.value) + 200
-            if puts and (size > TXN_BYTES or len(puts) >= self._client.most_puts):
+            if puts and (size > MAX_TXN_BYTES or len(puts) >= self._client.most_puts):
                 self._wake.set()  # the rest goes with the next transaction
                 break
             puts.append(put)
@@ -125,16 +134,17 @@
             if name in written:
                 del self._new[name]
                 machine.mark_rostered()
-        still = {name for record, _ in self._view.roster.values() for name in record.names}
-        self._gone -= gone - still
-        self._enlisted()
+        still_listed = {name for record, _ in self._view.roster.values() for name in record.names}
+        self._gone -= gone - still_listed
+        self._on_written()
 
     async def _commit(self, puts: list[Put], urgency: Urgency) -> bool:
         term = self._view.term
         if term is None:
             return False
-        # Conditional on the term: a later leader reads a roster that only it adds to. And on
-        # each group: a write without an answer that is applied late must not undo a later one.
+        # Conditional on the term, so that only the current leader adds to the roster that it has read.
+        # Conditional on each group, so that a write without an answer that is applied late cannot undo
+        # a later one.
         conditions = [self._session.condition(), KeyVersion(records.TERM, term[1])]
         known = self._view.roster
         conditions += [KeyVersion(put.key, known[put.key][1] if put.key in known else 0) for put in puts]
