--- a/gingerspar/coordination/membership/__init__.py
+++ b/gingerspar/coordination/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there and who commands: sessions, the term, workers' visits."""
+"""Which nodes are alive and which one leads: sessions, the term, workers' reports and their reachability."""
--- a/gingerspar/coordination/membership/reachability.py
+++ b/gingerspar/coordination/membership/reachability.py
@@ -1,11 +1,11 @@
-"""Whether this node reaches the workers: what comes in shows it, and where nothing does, it asks.
-
-While the leader is well all workers report to it, and no other node can tell from what it
-hears whether it could command them. On kerlann-fonts-fleet the leader lost the state
-service, and a second later it and three others lost the workers; the term went to one of
-those, and the only node with all its links took it 22 s later, past the workers' lease.
-So a node that doubts the leader, or a leader that hears nothing, asks a few machines for
-their status. It changes nothing there and renews no lease.
+"""Whether this node reaches the workers: known from their reports or, if there are none, from probes.
+
+While the leader works normally, all workers report to it, so no other node can tell from received
+reports whether it could command the workers. On kerlann-fonts-fleet the leader lost the state
+service, and a second later it and three others lost the workers. The term went to one of those
+three, and the only node with all its links took the term 22 s later, after the workers' leases had
+run out. So a node that doubts the leader, and a leader that receives nothing, probe a few machines
+for their status. A probe changes nothing on the machine and renews no lease.
 """
 
 import asyncio
@@ -23,47 +23,47 @@
 
 log = logging.getLogger(__name__)
 
-REACHABILITY_FRESH_FOR = timedelta(seconds=1.5)  # a report or an answer shows so long that the workers are reached
-ASKED = 3  # machines in one round
-ROUND = timedelta(seconds=0.5)  # from one round to the next
+REACHABILITY_FRESH_FOR = timedelta(seconds=1.5)  # age up to which a report or an answer shows that workers are reached
+PROBES_PER_ROUND = 3  # machines
+ROUND_INTERVAL = timedelta(seconds=0.5)  # pause between two rounds of probes
 PROBE_TIMEOUT = timedelta(seconds=0.7)  # for one answer
-LATE = timedelta(seconds=0.4)  # a round that took longer than this beyond its time shows only that this node is late
-ROUNDS_MISSED = 2  # without any answer: then the workers are out of reach
-MOST_ASKED = 8  # workers that came here, at once; a few that answer are enough
+MAX_ROUND_DELAY = timedelta(seconds=0.4)  # beyond PROBE_TIMEOUT; a longer round shows only that this node is late
+UNREACHABLE_AFTER_ROUNDS = 2  # rounds without any answer
+MAX_CONTACT_PROBES = 8  # concurrent probes of workers that reported to this node; a few that answer are enough
 
 
 class ReachabilityState(Enum):
-    UNKNOWN = "unknown"  # nothing was heard, and nothing asked lately
+    UNKNOWN = "unknown"  # no recent report or answer, and too few recent rounds of probes
     REACHABLE = "reachable"
     UNREACHABLE = "unreachable"
 
 
 class WorkerReachability:
-    """Judges from reports and answers; one for each node."""
+    """Decides from reports and probe answers whether this node reaches the workers; one for each node."""
 
     def __init__(self, contacts: WorkerContacts) -> None:
         self.state = ReachabilityState.UNKNOWN
         self._contacts = contacts
-        self._answered: timedelta | None = None
-        self._missed = 0
-        self._missed_at: timedelta | None = None
+        self._answered_at: timedelta | None = None
+        self._missed_rounds = 0
+        self._last_missed_at: timedelta | None = None
 
     def record_answer(self, now: timedelta) -> None:
-        """A machine has answered."""
-        self._answered, self._missed = now, 0
+        """Records that a machine answered a probe."""
+        self._answered_at, self._missed_rounds = now, 0
         self.update(now)
 
     def record_unanswered_round(self, now: timedelta) -> None:
-        """Of all machines asked in one round none has."""
-        self._missed, self._missed_at = self._missed + 1, now
+        """Records that no machine answered in one round of probes."""
+        self._missed_rounds, self._last_missed_at = self._missed_rounds + 1, now
         self.update(now)
 
     def update(self, now: timedelta) -> ReachabilityState:
-        """The state as of now: what was heard grows old without any event."""
-        if _fresh(self._contacts.last_report_at, now) or _fresh(self._answered, now):
-            self._missed = 0
+        """Returns the state as of now. Reports and answers grow old without any event, so callers update regularly."""
+        if _is_fresh(self._contacts.last_report_at, now) or _is_fresh(self._answered_at, now):
+            self._missed_rounds = 0
             self._move(ReachabilityState.REACHABLE)
-        elif self._missed >= ROUNDS_MISSED and _fresh(self._missed_at, now):
+        elif self._missed_rounds >= UNREACHABLE_AFTER_ROUNDS and _is_fresh(self._last_missed_at, now):
             self._move(ReachabilityState.UNREACHABLE)
         else:
             self._move(ReachabilityState.UNKNOWN)
@@ -71,88 +71,97 @@
 
     @property
     def is_reachable(self) -> bool | None:
-        """For the heartbeat; None: it can't be told."""
+        """For the heartbeat; None if unknown."""
         return None if self.state is ReachabilityState.UNKNOWN else self.state is ReachabilityState.REACHABLE
 
     def _move(self, state: ReachabilityState) -> None:
         """The only place where the state changes."""
         if state is self.state:
             return
-        if ReachabilityState.UNREACHABLE in (state, self.state):  # the others come and go with each doubt
-            log.info("workers: %s -> %s, %d rounds without an answer", self.state.value, state.value, self._missed)
+        if ReachabilityState.UNREACHABLE in (state, self.state):  # other changes occur with each doubt
+            log.info(
+                "worker reachability: %s -> %s, %d rounds without an answer",
+                self.state.value,
+                state.value,
+                self._missed_rounds,
+            )
         self.state = state
 
 
-def _fresh(when: timedelta | None, now: timedelta) -> bool:
+def _is_fresh(when: timedelta | None, now: timedelta) -> bool:
     return when is not None and now - when <= REACHABILITY_FRESH_FOR
 
 
 class Prober:
-    """Asks a few machines for as long as ``wanted`` says so."""
+    """Probes a few machines at intervals while ``is_wanted`` returns true.
+
+    ``addresses`` returns the machines of which each round probes a random sample.
+    """
 
     def __init__(
         self,
         reachability: WorkerReachability,
         contacts: WorkerContacts,
         clock: Clock,
-        wanted: Callable[[], bool],
+        is_wanted: Callable[[], bool],
         addresses: Callable[[], Sequence[str]],
         rng: random.Random,
     ) -> None:
         self._reachability = reachability
         self._contacts = contacts
         self._clock = clock
-        self._wanted = wanted
+        self._is_wanted = is_wanted
         self._addresses = addresses
         self._random = rng
-        self._asking: dict[str, asyncio.Task[None]] = {}  # workers that came here
+        self._contact_probes: dict[str, asyncio.Task[None]] = {}  # under way, by worker
 
     def probe_contacts(self) -> None:
-        """Whether workers that came here hear is worth knowing before they count as having left the leader."""
-        if not self._wanted():
+        """Probes workers that reported to this node: only those that answer count as having left the leader."""
+        if not self._is_wanted():
             return
-        for machine, address in self._contacts.unprobed(MOST_ASKED):
-            if machine not in self._asking and len(self._asking) < MOST_ASKED:
-                self._asking[machine] = asyncio.ensure_future(self._ask_visitor(machine, address))
+        for machine, address in self._contacts.unprobed(MAX_CONTACT_PROBES):
+            if machine not in self._contact_probes and len(self._contact_probes) < MAX_CONTACT_PROBES:
+                self._contact_probes[machine] = asyncio.ensure_future(self._probe_contact(machine, address))
 
-    async def _ask_visitor(self, machine: str, address: str) -> None:
+    async def _probe_contact(self, machine: str, address: str) -> None:
         try:
-            report = await self._ask(address)
+            report = await self._probe(address)
             if report is not None:
                 self._contacts.record_probe_answer(machine, (report.session, report.seq))
                 self._reachability.record_answer(self._clock.now())
         finally:
-            del self._asking[machine]
+            del self._contact_probes[machine]
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(ROUND.total_seconds())
+            await asyncio.sleep(ROUND_INTERVAL.total_seconds())
             self._reachability.update(self._clock.now())
             self.probe_contacts()
-            addresses = self._addresses() if self._wanted() else ()
+            addresses = self._addresses() if self._is_wanted() else ()
             if addresses:
-                await self._round(self._random.sample(list(addresses), min(ASKED, len(addresses))))
+                await self._run_round(self._random.sample(list(addresses), min(PROBES_PER_ROUND, len(addresses))))
 
-    async def _round(self, addresses: list[str]) -> None:
-        began = self._clock.now()
-        asking = [asyncio.ensure_future(self._ask(address)) for address in addresses]
-        for answer in asyncio.as_completed(asking):
+    async def _run_round(self, addresses: list[str]) -> None:
+        started = self._clock.now()
+        probes = [asyncio.ensure_future(self._probe(address)) for address in addresses]
+        for answer in asyncio.as_completed(probes):
             if await answer is not None:
                 self._reachability.record_answer(self._clock.now())
                 break
         else:
             now = self._clock.now()
-            if now - began <= PROBE_TIMEOUT + LATE:  # else this node may itself have been late to hear them
+            # In a longer round, this node itself may have been late to receive the answers.
+            if now - started <= PROBE_TIMEOUT + MAX_ROUND_DELAY:
                 self._reachability.record_unanswered_round(now)
-        for each in asking:
-            each.cancel()
+        for probe in probes:
+            probe.cancel()
 
-    async def _ask(self, address: str) -> Report | None:
-        """The machine's report as of now; None if there is no answer."""
+    async def _probe(self, address: str) -> Report | None:
+        """Returns the machine's current report, None if there is no valid answer."""
         try:
             client = Client(address, connect_timeout=PROBE_TIMEOUT)
         except ValueError:
-            return None  # that is no address
+            return None  # not a valid address
         try:
             async with asyncio.timeout(PROBE_TIMEOUT.total_seconds()):
                 status, body = await client.request("GET", names.PATH_STATUS, timeout=PROBE_TIMEOUT)
--- a/gingerspar/coordination/membership/session.py
+++ b/gingerspar/coordination/membership/session.py
@@ -1,4 +1,4 @@
-"""A node's session: a key on a lease that every claim and result write names."""
+"""A node's session: a key on a lease. Every write of a claim or result is conditional on this key."""
 
 import asyncio
 import logging
@@ -19,7 +19,7 @@
 
 class SessionState(Enum):
     NONE = "none"
-    LEASED = "leased"  # a lease, but no key on it yet
+    LEASED = "leased"  # the lease is granted, its key is not written yet
     OPEN = "open"
 
 
@@ -27,13 +27,16 @@
     (SessionState.NONE, SessionState.LEASED),
     (SessionState.LEASED, SessionState.OPEN),
     (SessionState.LEASED, SessionState.NONE),
-    (SessionState.NONE, SessionState.OPEN),  # this node's former process opened it
+    (SessionState.NONE, SessionState.OPEN),  # resumed from this node's previous process
     (SessionState.OPEN, SessionState.NONE),
 }
 
 
 class Session:
-    """Opens the session, renews it, and opens another when it is lost."""
+    """Opens this node's session, renews its lease, and opens a new session when it is lost.
+
+    The callbacks in ``on_change`` are called with each new state.
+    """
 
     def __init__(self, node: str, client: StateClient, view: WatchedView, clock: Clock, ttl: timedelta) -> None:
         self._node = node
@@ -44,10 +47,10 @@
         self._ttl = ttl
         self._lease = 0
         self._version = 0
-        self._tried_former = False
+        self._resume_tried = False
         self.state = SessionState.NONE
         self.on_change: list[Callable[[SessionState], None]] = []
-        view.on_node.append(self._seen)
+        view.on_node.append(self._on_node_change)
 
     def _move(self, state: SessionState, why: str) -> None:
         """The only place where the session's state changes."""
@@ -60,17 +63,18 @@
 
     @property
     def claimant(self) -> Claimant | None:
+        """This node and the session's version; None while the session is not open."""
         return Claimant(self._node, self._version) if self.state is SessionState.OPEN else None
 
     def condition(self) -> KeyVersion:
-        """Makes a write fail once this session is over, however late it is applied."""
+        """A condition that makes a write fail once this session has ended, however late the write is applied."""
         return KeyVersion(self._key, self._version)
 
-    def _seen(self, node: str) -> None:
+    def _on_node_change(self, node: str) -> None:
         if node != self._node or self.state is not SessionState.OPEN:
             return
         if self._view.nodes.get(node) != self._version:
-            self._move(SessionState.NONE, "key is gone or another's")
+            self._move(SessionState.NONE, "session key was removed or replaced")
 
     async def run(self) -> None:
         while True:
@@ -83,31 +87,31 @@
                 else:
                     await asyncio.sleep(0.05)
             except LeaseExpired:
-                self._tried_former = True
+                self._resume_tried = True
                 if self.state is not SessionState.NONE:
-                    self._move(SessionState.NONE, "lease has ended")
+                    self._move(SessionState.NONE, "lease has expired")
             except (Unavailable, OutcomeUnknown) as error:
                 log.debug("session: %s", error)
                 await asyncio.sleep(0.3)
 
     async def _resume(self) -> bool:
-        """Goes on with the session of this node's former process, if its lease has not ended.
+        """Resumes the session of this node's previous process if its lease has not expired; whether it did.
 
-        The platform starts a node's process again when the former one has ended, so nobody
-        else speaks in this session; what the former process may still have under way names
-        the version of each record it writes. Without this, the end of all controllers made
-        every claim lapse, and sweeping and claiming some hundred records again took more
-        than a minute of the write budget.
+        This is safe: the platform restarts a node's process only after the previous one has ended, so
+        nobody else uses the session, and writes of the previous process that are still under way are
+        conditional on the version of each record. Without resuming, a restart of all controllers made
+        every claim lapse, and sweeping and claiming several hundred records again took more than a
+        minute of the write budget.
         """
-        former, version = self._view.node_records.get(self._node), self._view.nodes.get(self._node)
-        if self._tried_former or former is None or version is None or not former.lease:
+        previous, version = self._view.node_records.get(self._node), self._view.nodes.get(self._node)
+        if self._resume_tried or previous is None or version is None or not previous.lease:
             return False
-        await self._client.extend(former.lease)
-        self._tried_former = True
+        await self._client.extend(previous.lease)
+        self._resume_tried = True
         if self._view.nodes.get(self._node) != version:
             return False
-        self._lease, self._version = former.lease, version
-        self._move(SessionState.OPEN, f"version {version}, as the former process left it")
+        self._lease, self._version = previous.lease, version
+        self._move(SessionState.OPEN, f"version {version}, resumed from the previous process")
         return True
 
     async def _open(self) -> None:
@@ -118,7 +122,7 @@
             self._move(SessionState.LEASED, f"lease {self._lease}")
         value = records.pack(NodeRecord(started=self._clock.today().timestamp(), lease=self._lease))
         transaction = Transaction(
-            # Conditional, so that a delayed put of an earlier session can't end this one unseen.
+            # Conditional, so that a delayed put of an earlier session cannot replace this one unnoticed.
             [KeyVersion(self._key, self._view.nodes.get(self._node, 0))],
             [Put(self._key, value, self._lease)],
         )
@@ -128,11 +132,11 @@
             await self._view.barrier(timedelta(seconds=1))
             return
         except OutcomeUnknown:
-            # It may have been applied under this very lease; a new lease tells them apart.
-            self._move(SessionState.NONE, "no answer")
+            # The write may have been applied with this lease; a new lease tells the two sessions apart.
+            self._move(SessionState.NONE, "no answer to the write of the session key")
             raise
         self._version = version
-        self._tried_former = True
+        self._resume_tried = True
         self._view.apply(self._key, bytes(value), version)
         if self.state is SessionState.LEASED:
             self._move(SessionState.OPEN, f"version {version}")
