--- a/gingerspar/coordination/membership/term.py
+++ b/gingerspar/coordination/membership/term.py
@@ -1,7 +1,8 @@
-"""The term: which node commands the machines, and when another takes over.
+"""The term: which node leads and commands the machines, and when another node takes over.
 
-The term is a number in one key, raised by a conditional write. ``decide`` is a
-pure function of what a node knows, so that kept traces can show each case.
+The term is a number in one key of the state service, raised by a conditional write.
+``reason_to_raise`` and ``reason_to_resign`` are pure functions of what a node knows
+(``ElectionState``), so that tests can cover each case without a cluster.
 """
 
 from dataclasses import dataclass, field
@@ -14,58 +15,58 @@
 
 
 class TermState(Enum):
-    """This node's part in the current term."""
+    """This node's role in the current term."""
 
     FOLLOWING = "following"
     RAISING = "raising"
     LEADING = "leading"
 
 
-DRIFT = 0.0005  # steady clocks drift apart by at most this share (PROTOCOL)
+DRIFT = 0.0005  # maximum relative drift between steady clocks (PROTOCOL)
 
 
 def authority_duration(workers: WorkerFacts) -> timedelta:
-    """L: how long after *sending* its last good state read a leader may answer workers.
+    """L: how long after *sending* its last successful state read a leader may answer workers.
 
-    A cancellation committed just after that read must take effect within
-    ``cancel``: the worker's last answered report is at most L later, and its lease
-    then ends within ``lease`` by its own clock. A second is kept for what clocks and
-    timers lose, less where a second is much of what there is; nothing is left where
-    ``cancel`` is hardly longer than ``lease`` (``check-config`` says so).
+    A cancellation committed just after that read must take effect within ``cancel``: the
+    worker's last answered report is at most L later, and the worker's lease then expires within
+    ``lease`` by its own clock. One second is reserved for inaccurate clocks and timers, or a quarter
+    of the difference between ``cancel`` and ``lease`` if that is shorter. L is zero where ``cancel`` is
+    hardly longer than ``lease`` (``check-config`` reports this).
     """
-    spare = workers.cancel - workers.lease
-    margin = min(timedelta(seconds=1), spare / 4) + workers.cancel * (4 * DRIFT)
-    return max(spare - margin, timedelta(0))
+    difference = workers.cancel - workers.lease
+    margin = min(timedelta(seconds=1), difference / 4) + workers.cancel * (4 * DRIFT)
+    return max(difference - margin, timedelta(0))
 
 
-READS_WITHIN = 2  # good reads that a leader should be able to send within L, as one may be late
+MIN_AUTHORITY_READS = 2  # successful reads that a leader should be able to send within L; one may be late
 
 
 def cancel_limit_problem(facts: Facts) -> str | None:
-    """What is wrong with ``cancel_s`` where a leader can't read the state service often enough for L; else None.
+    """An error text if ``cancel_s`` is so short that a leader cannot read the state service often enough for L.
 
-    Then machines are seldom answered in time and lose their leases, or have to be: no answer
-    could be given without the risk that what it keeps alive has just been cancelled.
+    None if ``cancel_s`` is long enough. If it is not, most workers are not answered in time and their
+    leases expire, because an answer given later could keep tasks alive that have just been cancelled.
     """
-    workers, least = facts.workers, read_pace(facts.state.rps, facts.size) * READS_WITHIN
-    if authority_duration(workers) >= least:
+    workers, required = facts.workers, read_pace(facts.state.rps, facts.size) * MIN_AUTHORITY_READS
+    if authority_duration(workers) >= required:
         return None
     return (
         f"facts.workers.cancel_s: {workers.cancel_s:g} is too close to lease_s, {workers.lease_s:g}: "
-        f"with this state service the leader reads it every {least.total_seconds() / READS_WITHIN:.2g} s, "
+        f"with this state service the leader reads it every {required.total_seconds() / MIN_AUTHORITY_READS:.2g} s, "
         "and answers to workers can't be kept fresh enough"
     )
 
 
 def settling_time(workers: WorkerFacts) -> timedelta:
-    """After a term change: until no machine can still run what an older leader started."""
+    """How long after a term change a machine may still run tasks that an older leader started."""
     total = authority_duration(workers) + workers.lease
     return total + total * (4 * DRIFT) + timedelta(seconds=0.5)
 
 
 @dataclass(slots=True)
 class PeerStatus:
-    """What the last heartbeat of a peer said and when it came."""
+    """The content of a peer's last heartbeat and when it was received."""
 
     received_at: timedelta
     term: int
@@ -74,13 +75,13 @@
     workers: int
     write_demand: float = 0.0
     receives_from: tuple[str, ...] = ()
-    process_started: timedelta | None = None  # when its process began, on this node's steady clock
-    reaches_workers: bool | None = None  # the workers, as far as it can tell
+    process_started: timedelta | None = None  # when the peer's process started, on this node's steady clock
+    reaches_workers: bool | None = None  # None if the peer does not know
 
 
 @dataclass(slots=True)
 class ElectionState:
-    """All that the decision to raise the term rests on."""
+    """Everything that the decisions to raise the term and to resign depend on."""
 
     now: timedelta
     node: str
@@ -90,152 +91,175 @@
     leader: str | None
     leader_session_alive: bool
     leader_is_this_process: bool
-    workers: int  # reports that reached this node within the last seconds
-    switched_workers: int  # of these, workers that the current leader had: they have seen its token
+    workers: int  # number that reported to this node within the last seconds
+    switched_workers: int  # of these, workers that the current leader had (they have seen its token)
     switched_workers_needed: int
     term_seen: timedelta  # when this node first saw the current term
     started: timedelta
     live_nodes: list[str] = field(default_factory=list)  # with an open session
     peers: dict[str, PeerStatus] = field(default_factory=dict)
-    link_up: bool = False  # to the leader
+    link_up: bool = False  # this node's connection to the leader
     resigned: bool = False  # this process held the current term and gave it up
     resigned_since: timedelta = timedelta(0)
-    leader_without_workers_since: timedelta | None = None  # since then workers come here and none to the leader
-    state_fresh_since: timedelta = timedelta(0)  # since then this node has read the state service without a gap
-    liveness_seen: timedelta | None = None  # when the leader's last sign of life in the state service was read
+    leader_without_workers_since: timedelta | None = None  # workers report to this node and none to the leader
+    state_fresh_since: timedelta = timedelta(0)  # this node has read the state service without a gap since then
+    liveness_seen: timedelta | None = None  # when the leader's last liveness mark in the state service was read
     reachability: ReachabilityState = ReachabilityState.UNKNOWN  # whether this node reaches the workers
-    leader_unreachable_since: timedelta | None = None  # since then the leader says that it does not
+    leader_unreachable_since: timedelta | None = None  # the leader reports that it reaches no workers
 
 
-STATE_FRESH_FOR = timedelta(seconds=1.5)
-PEER_SILENT_AFTER = timedelta(seconds=1.2)
-# A state service that is merely slow must not move the term: with each change every machine is
-# unsettled for seconds, while a leader without reads goes on with the claims that its peers hand it
+STATE_FRESH_FOR = timedelta(seconds=1.5)  # age up to which a node's view of the state service counts as fresh
+PEER_SILENT_AFTER = timedelta(seconds=1.2)  # since the peer's last heartbeat
+# A state service that is only slow must not move the term: after each change every machine is
+# unsettled for seconds, whereas a leader without reads continues with the claims that its peers hand it
 # (kerlann-fonts-fleet loss: two changes of term in a minute of slow answers).
-STALE_LEADER = timedelta(seconds=4)
-REGAINED = timedelta(seconds=1.5)  # so long after an outage others may still be without
-NO_WORKERS = timedelta(seconds=5)
-NO_WORKERS_LEFT = timedelta(seconds=1)  # where those that come here are the leader's own
-NO_REACH = timedelta(seconds=0.5)  # after the leader has asked its machines in vain
-BEAT_FRESH = timedelta(seconds=3.5)  # one sign of life, and the time to write and read it
-NO_BEAT = timedelta(seconds=6)  # three signs of life that a leader would have written in the state service
-STAGGER = timedelta(milliseconds=500)
-SAME_AGE = timedelta(seconds=5)  # processes that began within it are taken to be as old
-SETTLING_IN = timedelta(seconds=4)  # a new leader gets this long before it is judged
-
-
-def is_liveness_fresh(beat: timedelta | None, now: timedelta) -> bool:
-    """Whether a leader's last sign of life in the state service is fresh."""
-    return beat is not None and now - beat <= BEAT_FRESH
-
-
-def reason_to_raise(k: ElectionState) -> str | None:
-    """Why this node should take the term now, if it should."""
-    if k.leader_is_this_process or not k.session_open or k.state_age > STATE_FRESH_FOR:
+LEADER_STATE_STALE_AFTER = timedelta(seconds=4)
+STATE_RECOVERY_GRACE = timedelta(seconds=1.5)  # after an outage, others may be without reads for this long
+NO_WORKERS_FOR = timedelta(seconds=5)  # how long no worker reports to the leader before the term moves
+NO_WORKERS_SWITCHED_FOR = timedelta(seconds=1)  # the same if enough of the leader's own workers report to this node
+UNREACHABLE_FOR = timedelta(seconds=0.5)  # after the leader has probed its machines without success
+LIVENESS_FRESH_FOR = timedelta(seconds=3.5)  # one interval between liveness marks, and the time to write and read one
+LIVENESS_LOST_AFTER = timedelta(seconds=6)  # three liveness marks that a leader would have written in the meantime
+ELECTION_STAGGER = timedelta(milliseconds=500)  # between the attempts of two nodes
+PROCESS_AGE_STEP = timedelta(seconds=5)  # processes that started within one step count as equally old
+SETTLING_GRACE = timedelta(seconds=4)  # time that a new leader, a successor or a new process gets before it is judged
+
+
+def is_liveness_fresh(liveness_seen: timedelta | None, now: timedelta) -> bool:
+    """Whether a leader's last liveness mark in the state service is fresh; ``liveness_seen`` is when it was read."""
+    return liveness_seen is not None and now - liveness_seen <= LIVENESS_FRESH_FOR
+
+
+def reason_to_raise(state: ElectionState) -> str | None:
+    """Why this node should raise the term now; None if it should not."""
+    if state.leader_is_this_process or not state.session_open or state.state_age > STATE_FRESH_FOR:
         return None
-    if k.term == 0 or k.leader is None:
-        return _in_turn(k, "there is no leader", k.started)
-    if k.leader == k.node and not k.resigned:
-        return "the leader was this node's former process"
-    if k.leader == k.node:
-        # It resigned in favour of a peer; unless one follows, it takes the term again.
-        return "no peer took the term" if k.now - k.resigned_since > SETTLING_IN else None
-    peer_status = k.peers.get(k.leader)
-    silence = k.now - peer_status.received_at if peer_status is not None else k.now - k.started
+    if state.term == 0 or state.leader is None:
+        return _staggered(state, "there is no leader", state.started)
+    if state.leader == state.node and not state.resigned:
+        return "the leader was this node's previous process"
+    if state.leader == state.node:
+        # This process resigned in favour of a peer. If no peer takes over, it raises the term again.
+        return "no peer raised the term" if state.now - state.resigned_since > SETTLING_GRACE else None
+    peer_status = state.peers.get(state.leader)
+    silence = state.now - peer_status.received_at if peer_status is not None else state.now - state.started
     silent = silence > PEER_SILENT_AFTER
-    if not k.leader_session_alive and silent:
-        return _in_turn(k, "the leader's session is over", k.term_seen)
-    # It has asked its machines and this node has asked some too, so a new leader needs no time to
-    # settle in: a wrong choice is put right within seconds, before the workers' leases run out.
-    cut_off = k.now - k.leader_unreachable_since if k.leader_unreachable_since is not None else None
-    if not silent and cut_off is not None and cut_off >= NO_REACH and k.reachability is ReachabilityState.REACHABLE:
-        return _in_turn(k, "the leader reaches no workers", k.now - cut_off + NO_REACH)
-    if k.now - k.term_seen < SETTLING_IN:
+    if not state.leader_session_alive and silent:
+        return _staggered(state, "the leader's session has ended", state.term_seen)
+    # Both the leader and this node have probed machines, so even a new leader gets no grace period here:
+    # a wrong choice is corrected within seconds, before the workers' leases expire.
+    unreachable_for = state.now - state.leader_unreachable_since if state.leader_unreachable_since is not None else None
+    if (
+        not silent
+        and unreachable_for is not None
+        and unreachable_for >= UNREACHABLE_FOR
+        and state.reachability is ReachabilityState.REACHABLE
+    ):
+        return _staggered(state, "the leader reaches no workers", state.now - unreachable_for + UNREACHABLE_FOR)
+    if state.now - state.term_seen < SETTLING_GRACE:
         return None
     if silent:
-        # Connections between controllers alone may be refused, and the term must not go to and
-        # fro for that: only workers that the leader had show that it doesn't answer any more.
-        # New machines' first reports come here in any case.
-        # Nor do they while it shows itself in the state service: they may be on their way to it from an older
-        # leader, told of its token (bench/days/workers-alone: a term of 4 s).
+        # Only the connections between controllers may be refused, and the term must not move back and
+        # forth because of that: only workers that the leader had show that it no longer answers. New
+        # machines' first reports reach this node in any case.
+        # While the leader writes liveness marks, its workers do not show this either: they may be switching
+        # to it from an older leader, notified of its token (bench/days/workers-alone: a term of 4 s).
         if (
-            k.switched_workers >= k.switched_workers_needed
-            and not k.link_up
-            and not is_liveness_fresh(k.liveness_seen, k.now)
+            state.switched_workers >= state.switched_workers_needed
+            and not state.link_up
+            and not is_liveness_fresh(state.liveness_seen, state.now)
         ):
-            return _in_turn(k, "the leader is silent and workers come here", k.now - silence + PEER_SILENT_AFTER)
-        # It may have lost the state service as well and keep its workers: then nobody comes here.
-        last = max(k.now - silence, k.term_seen, k.liveness_seen or k.started)
-        if k.now - last > NO_BEAT:
-            return _in_turn(k, "the leader is silent, in the state service as well", last + NO_BEAT)
+            return _staggered(
+                state,
+                "the leader is silent and its workers report to this node",
+                state.now - silence + PEER_SILENT_AFTER,
+            )
+        # The leader may have lost the state service too and keep its workers: then no worker reports to this node.
+        last = max(state.now - silence, state.term_seen, state.liveness_seen or state.started)
+        if state.now - last > LIVENESS_LOST_AFTER:
+            return _staggered(state, "the leader is silent and writes no liveness marks", last + LIVENESS_LOST_AFTER)
         return None
     if peer_status is None:
         return None
-    # After an outage some node reads first, and must not take the term from a leader that is about to read.
-    if peer_status.state_age > STALE_LEADER and k.now - k.state_fresh_since > REGAINED:
-        return _in_turn(k, "the leader has no state service", k.now - (peer_status.state_age - STALE_LEADER))
-    if not peer_status.dispatching and peer_status.term >= k.term:
-        return _in_turn(k, "the leader gave up", k.now - silence)
-    # For a while, not at one moment: a first worker comes here before it is steered there.
-    # Workers that the leader had need less of it: when the leader is cut off from them and the state
-    # service goes out some seconds later, there is no other chance to keep their tasks (combinations
+    # After an outage one node reads first; it must not take the term from a leader that is about to read.
+    if peer_status.state_age > LEADER_STATE_STALE_AFTER and state.now - state.state_fresh_since > STATE_RECOVERY_GRACE:
+        return _staggered(
+            state,
+            "the leader cannot read the state service",
+            state.now - (peer_status.state_age - LEADER_STATE_STALE_AFTER),
+        )
+    if not peer_status.dispatching and peer_status.term >= state.term:
+        return _staggered(state, "the leader no longer dispatches", state.now - silence)
+    # The condition must hold for some time: a worker may first report to this node before it is redirected
+    # to the leader. Workers that the leader had need less time: if the leader is partitioned from them and
+    # the state service fails some seconds later, there is no other chance to keep their tasks (combinations
     # 56 and 282: 98 of 117 tasks were killed by their leases).
-    if k.leader_without_workers_since is not None:
-        enough = NO_WORKERS_LEFT if k.switched_workers >= k.switched_workers_needed else NO_WORKERS
-        if k.now - max(k.leader_without_workers_since, k.term_seen) > enough:
-            return _in_turn(k, "workers reach this node and not the leader", k.leader_without_workers_since + enough)
+    if state.leader_without_workers_since is not None:
+        min_duration = (
+            NO_WORKERS_SWITCHED_FOR if state.switched_workers >= state.switched_workers_needed else NO_WORKERS_FOR
+        )
+        if state.now - max(state.leader_without_workers_since, state.term_seen) > min_duration:
+            return _staggered(
+                state,
+                "workers report to this node and not to the leader",
+                state.leader_without_workers_since + min_duration,
+            )
     return None
 
 
-_BY_REACH: dict[bool | None, int] = {True: 0, None: 1, False: 2}
+_REACHABILITY_RANK: dict[bool | None, int] = {True: 0, None: 1, False: 2}
 
 
-def _in_turn(k: ElectionState, why: str, since: timedelta) -> str | None:
-    """Lets the nodes try one after the other.
+def _staggered(state: ElectionState, reason: str, since: timedelta) -> str | None:
+    """Returns ``reason`` once it is this node's turn to try: nodes try one after the other.
 
-    First those that reach the workers, last those that have asked in vain: on
-    kerlann-fonts-fleet the term went to a node that had just lost them, and all work was
-    lost though another had every link (bench/days/one-has-every-link-kerlann).
+    Nodes that reach the workers come first, nodes that have probed without success come last: on
+    kerlann-fonts-fleet the term went to a node that had just lost the workers, and all work was
+    lost although another node had every link (bench/days/one-has-every-link-kerlann).
 
-    Among these, those whose process began last go first: when all are restarted one after the other,
-    the term then comes to a node that has had its turn, and stays. In the order of their
-    names it went, with each restart, to the one that was restarted next
-    (kerlann-fonts-fleet restart: four changes of term in 75 s). One that has only just
-    begun may still end again and waits.
+    Among nodes that are equal in this, those whose process started last come first: if all are
+    restarted one after the other, the term then goes to a node that has already been restarted, and
+    stays there. In the order of their names, the term went with each restart to the node that was
+    restarted next (kerlann-fonts-fleet restart: four changes of term in 75 s). A process
+    that has only just started may end again, so it is not preferred yet.
     """
 
-    others = sorted(set(k.live_nodes) - {k.leader})
-    began = {node: k.peers[node].process_started for node in others if node in k.peers}
-    known = {node: since for node, since in began.items() if since is not None and k.now - since >= SETTLING_IN}
-    if known and k.now - k.started >= SETTLING_IN:
-        known[k.node] = k.started
-        oldest = min(known.values())
-        # Processes that began about together stay in the order of their names.
-        others.sort(key=lambda node: -((known.get(node, oldest) - oldest) // SAME_AGE))
-    reaches = {node: k.peers[node].reaches_workers for node in others if node in k.peers}
-    reaches[k.node] = (
-        None if k.reachability is ReachabilityState.UNKNOWN else k.reachability is ReachabilityState.REACHABLE
+    others = sorted(set(state.live_nodes) - {state.leader})
+    process_starts = {node: state.peers[node].process_started for node in others if node in state.peers}
+    settled = {
+        node: start
+        for node, start in process_starts.items()
+        if start is not None and state.now - start >= SETTLING_GRACE
+    }
+    if settled and state.now - state.started >= SETTLING_GRACE:
+        settled[state.node] = state.started
+        oldest = min(settled.values())
+        # Processes that started at about the same time stay in the order of their names.
+        others.sort(key=lambda node: -((settled.get(node, oldest) - oldest) // PROCESS_AGE_STEP))
+    reaches_workers = {node: state.peers[node].reaches_workers for node in others if node in state.peers}
+    reaches_workers[state.node] = (
+        None if state.reachability is ReachabilityState.UNKNOWN else state.reachability is ReachabilityState.REACHABLE
     )
-    others.sort(key=lambda node: _BY_REACH[reaches.get(node)])
-    place = others.index(k.node) if k.node in others else len(others)
-    return why if k.now - since >= STAGGER * place else None
+    others.sort(key=lambda node: _REACHABILITY_RANK[reaches_workers.get(node)])
+    position = others.index(state.node) if state.node in others else len(others)
+    return reason if state.now - since >= ELECTION_STAGGER * position else None
 
 
-def reason_to_resign(k: ElectionState) -> str | None:
-    """Why the leader should stop answering workers before its authority ends.
+def reason_to_resign(state: ElectionState) -> str | None:
+    """Why the leader should stop answering workers before its authority ends; None if it should not.
 
-    Only once a peer commands in its place. A leader that had no state service used to stop as
-    soon as a peer seemed to have it. When that peer lost it too, nobody was left to command
-    until the service came back, and 1,387 of 1,869 running tasks were killed by their leases
-    (bench/days/four-refused-then-outage-kerlann), though its authority had hardly begun to run out.
+    It resigns only once a peer commands in its place. A leader without the state service used to stop
+    as soon as a peer seemed to have it. When that peer lost it too, no node commanded until the service
+    recovered, and 1,387 of 1,869 running tasks were killed by their leases
+    (bench/days/four-refused-then-outage-kerlann), although the leader's authority had only just begun to run out.
     """
-    if not k.leader_is_this_process:
+    if not state.leader_is_this_process:
         return None
-    heard = {
+    recent = {
         node: peer_status
-        for node, peer_status in k.peers.items()
-        if k.now - peer_status.received_at <= PEER_SILENT_AFTER
+        for node, peer_status in state.peers.items()
+        if state.now - peer_status.received_at <= PEER_SILENT_AFTER
     }
-    if any(peer_status.term > k.term and peer_status.dispatching for peer_status in heard.values()):
+    if any(peer_status.term > state.term and peer_status.dispatching for peer_status in recent.values()):
         return "a peer dispatches under a higher term"
     return None
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gingerspar.coordination.membership.term import NO_BEAT
+from gingerspar.coordination.membership.term import LIVENESS_LOST_AFTER
 from tests.standins.cloud import settle
 from tests.standins.cluster import NAMES, Cluster
 
@@ -67,7 +67,7 @@
     try:
         leader, sessions = await running(cluster)
         cluster.apart = {leader}
-        await asyncio.sleep(NO_BEAT.total_seconds() + 2)
+        await asyncio.sleep(LIVENESS_LOST_AFTER.total_seconds() + 2)
         assert cluster.leader() == leader
         assert _settled(cluster, leader, sessions)
     finally:
