--- a/gingerspar/transport/__init__.py
+++ b/gingerspar/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP server and client, and the link between controllers."""
+"""HTTP server and client, the link between controllers, and the clock."""
--- a/gingerspar/transport/client.py
+++ b/gingerspar/transport/client.py
@@ -1,8 +1,8 @@
-"""An HTTP client that keeps its connections.
+"""An HTTP client with persistent connections.
 
-Tornado's simple client opens a connection for every request. Here each target
-has a small pool of ``http1connection`` connections; a connection on which
-anything went wrong is thrown away, never used again.
+Tornado's simple client opens a connection for every request. This client keeps a small
+pool of idle ``http1connection`` connections to its address. A connection on which any
+error occurred is closed and not reused.
 """
 
 import asyncio
@@ -15,14 +15,16 @@
 
 
 class NoAnswer(Exception):
-    """No answer came; the request may have been carried out, or may yet be."""
+    """No complete answer was received; the request may have been carried out, or may be carried out later."""
 
 
 class RequestNotSent(NoAnswer):
-    """No connection came about, so the request was certainly not carried out."""
+    """The request was not sent, so it was certainly not carried out."""
 
 
 class _Reply(httputil.HTTPMessageDelegate):
+    """Collects one response."""
+
     def __init__(self) -> None:
         self.status = 0
         self.chunks: list[bytes] = []
@@ -40,15 +42,18 @@
 
 
 class Client:
-    """Requests to one address."""
+    """Sends requests to one address (``HOST:PORT``).
+
+    Up to ``max_idle`` idle connections are kept for later requests.
+    """
 
-    def __init__(self, address: str, *, connect_timeout: timedelta = timedelta(seconds=2), most_kept: int = 8) -> None:
+    def __init__(self, address: str, *, connect_timeout: timedelta = timedelta(seconds=2), max_idle: int = 8) -> None:
         host, port = address.rsplit(":", 1)
         self._target = (host, int(port))
         self._address = address
         self._connect_timeout = connect_timeout.total_seconds()
-        self._kept: deque[tuple[iostream.IOStream, http1connection.HTTP1Connection]] = deque()
-        self._most_kept = most_kept
+        self._idle: deque[tuple[iostream.IOStream, http1connection.HTTP1Connection]] = deque()
+        self._max_idle = max_idle
         self._params = http1connection.HTTP1ConnectionParameters(no_keep_alive=False, max_body_size=256 * 1024 * 1024)
 
     async def _open(self) -> tuple[iostream.IOStream, http1connection.HTTP1Connection]:
@@ -60,7 +65,8 @@
             stream.close()
             raise RequestNotSent(f"{self._address}: {error!r}") from error
         except asyncio.CancelledError:
-            # Nobody else knows of it: it would stay among this process's sockets, behind a cut for minutes.
+            # No other code holds this stream: unless it is closed here, its socket stays open in this process,
+            # for minutes if the target is partitioned.
             stream.close()
             raise
         return stream, http1connection.HTTP1Connection(stream, True, self._params)
@@ -74,35 +80,36 @@
         timeout: timedelta = timedelta(seconds=3),
         permit: Callable[[], bool] | None = None,
     ) -> tuple[int, bytes]:
-        """Status and body of the answer, or ``NoAnswer``.
+        """Sends a request and returns the status and the body of the answer.
 
-        ``permit`` is asked at the last moment before the request leaves; if it says no,
-        ``RequestNotSent`` is raised.
+        ``permit`` is called immediately before the request is sent. ``timeout`` bounds the exchange,
+        without the time to connect. Raises ``RequestNotSent`` if no connection could be made or
+        ``permit`` returned false, and ``NoAnswer`` if no complete answer was received.
         """
-        while self._kept:
-            stream, connection = self._kept.pop()
+        while self._idle:
+            stream, connection = self._idle.pop()
             if not stream.closed():
                 break
         else:
             stream, connection = await self._open()
         if permit is not None and not permit():
-            self._kept.append((stream, connection))
-            raise RequestNotSent(f"{self._address}: not entitled any more")
+            self._idle.append((stream, connection))
+            raise RequestNotSent(f"{self._address}: no longer permitted")
         reply = _Reply()
-        clean = False
+        reusable = False
         try:
             async with asyncio.timeout(timeout.total_seconds()):
                 await self._exchange(connection, reply, method, path, body)
-            clean = reply.complete and not stream.closed()
+            reusable = reply.complete and not stream.closed()
         except (TimeoutError, iostream.StreamClosedError, httputil.HTTPInputError, OSError) as error:
             raise NoAnswer(f"{self._address}: {error!r}") from error
         finally:
-            if clean and len(self._kept) < self._most_kept:
-                self._kept.append((stream, connection))
+            if reusable and len(self._idle) < self._max_idle:
+                self._idle.append((stream, connection))
             else:
                 stream.close()
         if not reply.complete:
-            raise NoAnswer(f"{self._address}: closed before the answer ended")
+            raise NoAnswer(f"{self._address}: connection closed before the answer was complete")
         return reply.status, b"".join(reply.chunks)
 
     async def _exchange(
@@ -117,5 +124,6 @@
         await connection.read_response(reply)
 
     def close(self) -> None:
-        while self._kept:
-            self._kept.pop()[0].close()
+        """Closes the idle connections; requests in progress are not affected."""
+        while self._idle:
+            self._idle.pop()[0].close()
--- a/gingerspar/transport/clock.py
+++ b/gingerspar/transport/clock.py
@@ -1,16 +1,16 @@
-"""The steady clock, as the standard library's time types."""
+"""Monotonic and wall-clock time, as the standard library's time types."""
 
 import time
 from datetime import UTC, datetime, timedelta
 
 
 class Clock:
-    """Durations from the steady clock, dates from the wall clock."""
+    """The clock of this process. Simulated clocks override its methods."""
 
     def now(self) -> timedelta:
-        """Steady time; only differences have a meaning."""
+        """Monotonic time; only differences are meaningful."""
         return timedelta(seconds=time.monotonic())
 
     def today(self) -> datetime:
-        """Time of day; nodes differ by the bound that the settings give."""
+        """Wall-clock date and time in UTC; the nodes' clocks differ by at most the bound in the settings."""
         return datetime.now(UTC)
--- a/gingerspar/transport/server.py
+++ b/gingerspar/transport/server.py
@@ -1,7 +1,7 @@
-"""A thin HTTP server on tornado's connections.
+"""A minimal HTTP server on tornado's connections.
 
-``tornado.web`` routes by regular expression and builds a handler object per request;
-with a part of one core per node, the plain connections below it are enough.
+``tornado.web`` routes by regular expression and creates a handler object per request. A node has only
+part of one core, so this server uses the ``http1connection`` layer below it directly.
 """
 
 import asyncio
@@ -20,15 +20,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
-IDLE_AT_MOST = timedelta(minutes=2)  # a connection without requests
-IDLE_CROWDED = timedelta(seconds=15)  # the same where sockets are short: workers and pollers ask far more often
-CROWDED = 0.75  # of the sockets that this process may have; beyond it they are short
+MAX_BODY_BYTES = 64 * 1024
+IDLE_TIMEOUT = timedelta(minutes=2)  # connections without requests for this long are closed
+# Idle timeout while sockets are scarce. Workers and polling users send requests far more often than this.
+CROWDED_IDLE_TIMEOUT = timedelta(seconds=15)
+CROWDED_SOCKET_SHARE = 0.75  # sockets count as scarce above this share of the process's socket limit
 
 
 @dataclass(slots=True)
 class Answer:
-    """What goes back to whoever asked."""
+    """An HTTP response."""
 
     status: int
     body: bytes = b""
@@ -37,7 +38,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """What was asked."""
+    """An HTTP request."""
 
     method: str
     path: str
@@ -45,16 +46,17 @@
     body: bytes
 
 
-# The answer itself where nothing has to be waited for: a task for each request is what a busy node can't afford.
+# A handler that has nothing to wait for returns the answer itself: creating a task for each request costs too much
+# on a busy node.
 Handler = Callable[[Request], Answer | Awaitable[Answer]]
 
 
 async def resolve_answer(answer: Answer | Awaitable[Answer]) -> Answer:
-    """The answer, whether it was there at once or has to be waited for."""
+    """Returns what a handler returned, awaited if necessary."""
     return answer if isinstance(answer, Answer) else await answer
 
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     201: "Created",
     400: "Bad Request",
@@ -69,111 +71,117 @@
 }
 
 
-class _Exchange(httputil.HTTPMessageDelegate):
-    """One request as it comes in."""
+class _RequestReader(httputil.HTTPMessageDelegate):
+    """Collects one request and passes it to ``on_request`` when it is complete."""
 
-    def __init__(self, begin: Callable[[Request, httputil.HTTPConnection], None], connection: httputil.HTTPConnection):
-        self._begin = begin
+    def __init__(
+        self, on_request: Callable[[Request, httputil.HTTPConnection], None], connection: httputil.HTTPConnection
+    ):
+        self._on_request = on_request
         self._connection = connection
-        self._line: httputil.RequestStartLine | None = None
+        self._start_line: httputil.RequestStartLine | None = None
         self._chunks: list[bytes] = []
 
     def headers_received(
         self, start_line: httputil.RequestStartLine | httputil.ResponseStartLine, headers: httputil.HTTPHeaders
     ) -> None:
         assert isinstance(start_line, httputil.RequestStartLine)
-        self._line = start_line
+        self._start_line = start_line
 
     def data_received(self, chunk: bytes) -> None:
         self._chunks.append(chunk)
 
     def finish(self) -> None:
-        assert self._line is not None
-        path, _, query = self._line.path.partition("?")
-        self._begin(Request(self._line.method, path, query, b"".join(self._chunks)), self._connection)
+        assert self._start_line is not None
+        path, _, query = self._start_line.path.partition("?")
+        self._on_request(Request(self._start_line.method, path, query, b"".join(self._chunks)), self._connection)
 
 
 class Server(httputil.HTTPServerConnectionDelegate):
-    """Listens on one address and hands every request to ``handler``.
+    """Listens on one address and passes every request to ``handler``.
 
-    ``sockets``: how many this process may have. Workers that come back after a cut, or are sent
-    round, leave a connection behind for each that they open; with a thousand of them these would
-    keep the new ones from being accepted.
+    ``max_sockets`` is the number of sockets that this process may have. Workers that reconnect after a
+    network partition, or are redirected between nodes, leave an unused connection behind for each new one;
+    with a thousand workers, these would prevent new connections from being accepted.
     """
 
-    def __init__(self, handler: Handler, sockets: float = math.inf, clock: Clock | None = None) -> None:
+    def __init__(self, handler: Handler, max_sockets: float = math.inf, clock: Clock | None = None) -> None:
         self._handler = handler
-        self._crowded = sockets * CROWDED
-        self._running: set[asyncio.Future[Any]] = set()
+        self._crowded_above = max_sockets * CROWDED_SOCKET_SHARE
+        self._unfinished: set[asyncio.Future[Any]] = set()
         self._http = httpserver.HTTPServer(
-            self, max_body_size=MAX_BODY, idle_connection_timeout=IDLE_AT_MOST.total_seconds()
+            self, max_body_size=MAX_BODY_BYTES, idle_connection_timeout=IDLE_TIMEOUT.total_seconds()
         )
-        # A timer for each request is a good part of what it costs, so only a connection's first one has
-        # it; from then on the connections are kept in the order of their last requests.
-        self._later = http1connection.HTTP1ConnectionParameters(max_body_size=MAX_BODY)
+        # A timer is a considerable part of the cost of a request, so tornado's idle timer covers only the first
+        # request of a connection. After that, ``_last_request_at`` lists the connections, least recently used first.
+        self._params_without_timer = http1connection.HTTP1ConnectionParameters(max_body_size=MAX_BODY_BYTES)
         self._clock = clock or Clock()
-        self._asked: OrderedDict[http1connection.HTTP1ServerConnection, timedelta] = OrderedDict()
+        self._last_request_at: OrderedDict[http1connection.HTTP1ServerConnection, timedelta] = OrderedDict()
 
     def listen(self, port: int, address: str) -> None:
         self._http.listen(port, address)
 
     def stop(self) -> None:
-        """Takes no new connection and closes those there are."""
+        """Stops listening and closes all connections."""
         self._http.stop()
         closing = asyncio.ensure_future(self._http.close_all_connections())
-        self._running.add(closing)
-        closing.add_done_callback(self._running.discard)
+        self._unfinished.add(closing)
+        closing.add_done_callback(self._unfinished.discard)
 
     def start_request(self, server_conn: object, request_conn: httputil.HTTPConnection) -> httputil.HTTPMessageDelegate:
-        """Called by tornado before it reads each request; the answer goes to ``request_conn``."""
+        """Called by tornado before it reads each request; the response is written to ``request_conn``."""
         assert isinstance(server_conn, http1connection.HTTP1ServerConnection)
         now = self._clock.now()
-        if server_conn in self._asked:
-            self._asked.move_to_end(server_conn)
+        if server_conn in self._last_request_at:
+            self._last_request_at.move_to_end(server_conn)
         else:
-            server_conn.params = self._later
-        self._asked[server_conn] = now
-        self._drop_idle(now)
-        return _Exchange(self._begin, request_conn)
+            server_conn.params = self._params_without_timer
+        self._last_request_at[server_conn] = now
+        self._close_idle(now)
+        return _RequestReader(self._handle_request, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Called by tornado when a connection is gone."""
+        """Called by tornado when a connection has been closed."""
         assert isinstance(server_conn, http1connection.HTTP1ServerConnection)
-        self._asked.pop(server_conn, None)
-
-    def _drop_idle(self, now: timedelta) -> None:
-        """Machines that lose their power leave connections behind that nobody will use again."""
-        while self._asked:
-            oldest, asked = next(iter(self._asked.items()))
-            if now - asked <= (IDLE_CROWDED if len(self._asked) > self._crowded else IDLE_AT_MOST):
+        self._last_request_at.pop(server_conn, None)
+
+    def _close_idle(self, now: timedelta) -> None:
+        """Closes idle connections: machines that lose power leave connections open that are never used again."""
+        while self._last_request_at:
+            oldest, requested_at = next(iter(self._last_request_at.items()))
+            if now - requested_at <= (
+                CROWDED_IDLE_TIMEOUT if len(self._last_request_at) > self._crowded_above else IDLE_TIMEOUT
+            ):
                 return
-            del self._asked[oldest]
+            del self._last_request_at[oldest]
             oldest.stream.close()
 
-    def _begin(self, request: Request, connection: httputil.HTTPConnection) -> None:
+    def _handle_request(self, request: Request, connection: httputil.HTTPConnection) -> None:
         try:
             answer = self._handler(request)
         except Exception:
-            answer = self._failed(request)
+            answer = self._log_failure(request)
         if isinstance(answer, Answer):
             _send(answer, connection)
             return
-        coming = asyncio.ensure_future(answer)  # a future is taken as it is, without a task of its own
-        self._running.add(coming)
-        coming.add_done_callback(partial(self._answered, request, connection))
+        future = asyncio.ensure_future(answer)  # a future is used as it is; no task is created for it
+        self._unfinished.add(future)
+        future.add_done_callback(partial(self._handler_done, request, connection))
 
-    def _failed(self, request: Request) -> Answer:
+    def _log_failure(self, request: Request) -> Answer:
         log.exception("request %s %s failed", request.method, request.path)
         return Answer(503, b'{"error":"internal"}', {"Retry-After": "1"})
 
-    def _answered(self, request: Request, connection: httputil.HTTPConnection, coming: asyncio.Future[Answer]) -> None:
-        self._running.discard(coming)
-        if coming.cancelled():
-            return  # this server is being stopped
+    def _handler_done(
+        self, request: Request, connection: httputil.HTTPConnection, future: asyncio.Future[Answer]
+    ) -> None:
+        self._unfinished.discard(future)
+        if future.cancelled():
+            return  # the server is being stopped
         try:
-            answer = coming.result()
+            answer = future.result()
         except Exception:
-            answer = self._failed(request)
+            answer = self._log_failure(request)
         _send(answer, connection)
 
 
@@ -181,16 +189,16 @@
     headers = httputil.HTTPHeaders(
         {"Content-Type": "application/json", "Content-Length": str(len(answer.body)), **answer.headers}
     )
-    line = httputil.ResponseStartLine("HTTP/1.1", answer.status, REASONS.get(answer.status, "Unknown"))
+    line = httputil.ResponseStartLine("HTTP/1.1", answer.status, REASON_PHRASES.get(answer.status, "Unknown"))
     try:
-        sent = connection.write_headers(line, headers, answer.body)
+        written = connection.write_headers(line, headers, answer.body)
         connection.finish()
     except (iostream.StreamClosedError, httputil.HTTPOutputError, OSError):
-        return  # the other side went away; it will ask again
-    sent.add_done_callback(_seen)
+        return  # the client closed the connection; it will repeat the request
+    written.add_done_callback(_ignore_write_error)
 
 
-def _seen(sent: asyncio.Future[None]) -> None:
-    """That the other side went away before it had its answer is nobody's concern: it will ask again."""
-    if not sent.cancelled():
-        sent.exception()
+def _ignore_write_error(written: asyncio.Future[None]) -> None:
+    """Ignores that the client closed the connection before it received the answer: it will repeat the request."""
+    if not written.cancelled():
+        written.exception()
