--- a/gingerspar/cli.py
+++ b/gingerspar/cli.py
@@ -23,29 +23,31 @@
 )
 
 OPERATOR_VARIABLE = "GINGERSPAR_OPERATOR"
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def _load(config: Path, operator: Path | None) -> tuple[Settings, OperatorSettings]:
+    """Reads both settings files; ends the process with status 2 if one is invalid."""
     try:
         settings = parse_settings(read_text(config))
     except BadSettings as error:
-        _refuse(config, error)
+        _exit_with_error(config, error)
     try:
-        own = parse_operator_settings(read_text(operator)) if operator is not None else OperatorSettings()
+        operator_settings = parse_operator_settings(read_text(operator)) if operator is not None else OperatorSettings()
     except BadSettings as error:
-        _refuse(operator, error)
-    return settings, own
+        _exit_with_error(operator, error)
+    return settings, operator_settings
 
 
-def _refuse(path: Path | None, error: Exception) -> NoReturn:
+def _exit_with_error(path: Path | None, error: Exception) -> NoReturn:
     click.echo(f"gingerspar: {path}: {error}", err=True)
     sys.exit(2)
 
 
 def _log_level() -> int:
-    given = os.environ.get("LOG_LEVEL", "info").lower()
-    return LEVELS.get(given, logging.INFO)
+    """The level named by the environment variable ``LOG_LEVEL``; ``info`` if it names none."""
+    level = os.environ.get("LOG_LEVEL", "info").lower()
+    return LOG_LEVELS.get(level, logging.INFO)
 
 
 _config = click.option(
@@ -55,7 +57,7 @@
     "--operator",
     envvar=OPERATOR_VARIABLE,
     type=click.Path(path_type=Path, dir_okay=False),
-    help="The operators' own settings (YAML).",
+    help="The operators' settings (YAML).",
 )
 
 
@@ -64,19 +66,19 @@
 @_operator
 def serve(config: Path, operator: Path | None) -> None:
     """Run a controller until it is killed."""
-    settings, own = _load(config, operator)
+    settings, operator_settings = _load(config, operator)
     logging.basicConfig(level=_log_level(), format="%(levelname)s %(name)s %(message)s", stream=sys.stderr)
     from gingerspar.controller import Controller
     from gingerspar.coordination.membership.term import cancel_limit_problem
 
-    too_short = cancel_limit_problem(settings.facts)
-    if too_short is not None:
-        logging.getLogger(__name__).error("%s", too_short)  # the rest is served all the same
+    problem = cancel_limit_problem(settings.facts)
+    if problem is not None:
+        logging.getLogger(__name__).error("%s", problem)  # the controller runs all the same
 
     async def main() -> None:
-        await Controller(settings, own).run()
+        await Controller(settings, operator_settings).run()
 
-    # tornado's streams on a loop in C: a busy leader goes through well over a thousand rounds a second.
+    # uvloop, an event loop in C: on a busy leader, the loop runs well over a thousand iterations a second.
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(main())
 
@@ -94,25 +96,26 @@
 @_config
 @_operator
 def check_config(config: Path, operator: Path | None) -> None:
-    """Check settings files and say what is wrong with them."""
-    settings, own = _load(config, operator)
+    """Check settings files and report what is invalid."""
+    settings, operator_settings = _load(config, operator)
     from gingerspar.coordination.membership.term import cancel_limit_problem
 
-    too_short = cancel_limit_problem(settings.facts)
-    if too_short is not None:
-        _refuse(config, BadSettings(too_short))
+    problem = cancel_limit_problem(settings.facts)
+    if problem is not None:
+        _exit_with_error(config, BadSettings(problem))
     click.echo(f"{settings.node}: settings are fine")
-    for name in own.__struct_fields__:
-        click.echo(f"  {name}: {getattr(own, name)}")
+    for name in operator_settings.__struct_fields__:
+        click.echo(f"  {name}: {getattr(operator_settings, name)}")
 
 
 _node = click.option("--node", required=True, metavar="HOST:PORT", help="A controller or the load balancer.")
 
 
-def _ask(node: str, method: str, path: str, body: bytes | None = None) -> None:
+def _send_request(node: str, method: str, path: str, body: bytes | None = None) -> None:
+    """Sends a request to a node and prints the answer; status 1 if no answer came or the node refused."""
     from gingerspar.transport.client import Client, NoAnswer
 
-    async def ask() -> tuple[int, bytes]:
+    async def send() -> tuple[int, bytes]:
         client = Client(node)
         try:
             return await client.request(method, path, body, timeout=timedelta(seconds=5))
@@ -122,7 +125,7 @@
     if not node.rpartition(":")[2].isdigit():
         raise click.BadParameter("expected HOST:PORT", param_hint="--node")
     try:
-        status, answer = asyncio.run(ask())
+        status, answer = asyncio.run(send())
     except NoAnswer as error:
         raise click.ClickException(f"no answer: {error}") from error
     click.echo(answer.decode(errors="replace"))
@@ -136,15 +139,15 @@
 @click.argument("job", type=click.File("rb"))
 def submit(node: str, job: IO[bytes]) -> None:
     """Submit the job described in the JSON file JOB (- for standard input)."""
-    _ask(node, "POST", names.PATH_JOBS, job.read())
+    _send_request(node, "POST", names.PATH_JOBS, job.read())
 
 
 @main.command()
 @_node
 @click.argument("job")
 def status(node: str, job: str) -> None:
-    """Show how the job fares."""
-    _ask(node, "GET", f"{names.PATH_JOBS}/{job}")
+    """Show the job's status."""
+    _send_request(node, "GET", f"{names.PATH_JOBS}/{job}")
 
 
 @main.command()
@@ -152,7 +155,7 @@
 @click.argument("job")
 def cancel(node: str, job: str) -> None:
     """Cancel the job."""
-    _ask(node, "POST", f"{names.PATH_JOBS}/{job}{names.PATH_ABORT}", b"")
+    _send_request(node, "POST", f"{names.PATH_JOBS}/{job}{names.PATH_ABORT}", b"")
 
 
 if __name__ == "__main__":
