--- a/bench/acceptance.py
+++ b/bench/acceptance.py
@@ -1,12 +1,14 @@
-"""Plays days of the bench at several sizes and seeds, and says which would not be accepted.
+"""Runs scenarios of the bench at several sizes and seeds, and prints which of them fail.
 
     python -m bench.acceptance --bench PROGRAM --site SITE.toml... [--day DAY]... [--size 1 --size 1.5] [--seed N]...
 
-DAY is the name of a standard day or a file; without any, all days of each site. A size above 1 multiplies machines,
-arrivals and the teams' limits (``--machines-only``: the machines alone). A day fails if a rule broke, it could not be
-played in its time, half of a class or team was not served, a process ended by itself, one of the largest jobs of a
-class had not begun after four minutes, or it cost more than the bound. Exit status 1 if any failed. Figures are from
-simulated machines; all are the bench's own but for what has not begun, which the service's log tells.
+The bench calls a scenario a "day". DAY is the name of a standard scenario or a file; without this option, all scenarios
+of each site are run. A size above 1 multiplies the machines, the arrivals and the teams' limits (``--machines-only``:
+only the machines). A scenario fails if a rule was broken, if it did not run to its end in time, if less than half of
+the jobs of a class or team were served, if a process ended by itself, if one of the largest jobs of a class had not
+started after four minutes, or if it cost more than the bound. The exit status is 1 if any scenario failed. The figures
+are from simulated machines. They are taken from the bench's report, except for the jobs that have not started, which
+are read from the service's log.
 """
 
 import copy
@@ -30,180 +32,187 @@
 from rich.progress import Progress
 from rich.table import Table
 
-SERVED = 0.5  # of each class and team
+MIN_SERVED_SHARE = 0.5  # minimum share of the jobs of each class and each team
 Site = dict[str, Any]
 
 
 @dataclass(frozen=True)
-class Play:
-    """One day to be played."""
+class ScenarioRun:
+    """One scenario to run, at one size and with one seed."""
 
-    site: Path  # as the operators wrote it
+    site: Path  # the operators' file, not enlarged
     size: float
-    day: str
-    seed: int | None
+    scenario: str
+    seed: int | None  # None: the scenario's own seed
 
 
 @dataclass
 class Outcome:
-    """What came of it. ``cost``: processor seconds of the day, times the machine's speed."""
+    """The result of one run. ``cost``: processor seconds of the run, multiplied by the machine's speed."""
 
-    play: Play
-    mark: float | None = None
+    scenario_run: ScenarioRun
+    mark: float | None = None  # the score that the bench prints
     cost: float = 0.0
-    lowest: tuple[str, float, float] = ("", 1.0, 1.0)  # class, started, done
-    team: tuple[str, float] = ("", 1.0)
-    killed: int = 0
+    lowest_class: tuple[str, float, float] = ("", 1.0, 1.0)  # class, share of its jobs started, share done
+    lowest_team: tuple[str, float] = ("", 1.0)  # team, share of its jobs started
+    killed_tasks: int = 0  # tasks killed because a lease ran out
     memory_mb: float = 0.0
     connections: int = 0
-    unbegun: int = 0  # jobs that had not begun after four minutes, by the service's own log
-    reasons: list[str] = field(default_factory=list)  # why it fails
+    not_started: int = 0  # jobs that had not started after four minutes, from the service's log
+    reasons: list[str] = field(default_factory=list)  # why the run fails; empty if it passes
 
 
-def enlarged(site: Site, size: float, *, machines_only: bool, back_s: float | None, nodes: int | None) -> Site:
-    """The site with so many times as much of everything that grows."""
-    grown = copy.deepcopy(site)
-    for entry in grown.get("capacity", []) + grown.get("machines", []):
+def scale_site(
+    site: Site, size: float, *, machines_only: bool, restart_delay_s: float | None, nodes: int | None
+) -> Site:
+    """Returns a copy of the site with machines, arrivals and the teams' limits multiplied by ``size``."""
+    scaled = copy.deepcopy(site)
+    for entry in scaled.get("capacity", []) + scaled.get("machines", []):
         for name in ("count", "spot"):
             if name in entry and not isinstance(entry[name], bool):
                 entry[name] = round(entry[name] * size)
     if not machines_only:
-        for jobs in grown.get("jobs", []):
+        for jobs in scaled.get("jobs", []):
             jobs["arrivals"]["rate"] *= size
             jobs["initial"] = round(jobs.get("initial", 0) * size)
-        for team in grown.get("teams", []):
+        for limits in scaled.get("teams", []):
             for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
-                if name in team:
-                    team[name] *= size
-    if back_s is not None:
-        grown["nodes"]["restart_delay_s"] = back_s
+                if name in limits:
+                    limits[name] *= size
+    if restart_delay_s is not None:
+        scaled["nodes"]["restart_delay_s"] = restart_delay_s
     if nodes is not None:
-        grown["nodes"]["count"] = nodes
-    return grown
+        scaled["nodes"]["count"] = nodes
+    return scaled
 
 
-def judge(play: Play, report: dict[str, Any], bound: float) -> Outcome:
-    """Reads the bench's report of a day that was played to its end."""
-    found = Outcome(play)
+def evaluate_report(scenario_run: ScenarioRun, report: dict[str, Any], max_cost: float) -> Outcome:
+    """Evaluates the bench's report of a scenario that ran to its end."""
+    outcome = Outcome(scenario_run)
     spent = report["spent"]
-    found.cost = (sum(spent["world"]) + sum(spent["processes"])) * report["machine_speed"]
-    found.killed = report["fleet"]["tasks_killed_by_lease"]
+    outcome.cost = (sum(spent["world"]) + sum(spent["processes"])) * report["machine_speed"]
+    outcome.killed_tasks = report["fleet"]["tasks_killed_by_lease"]
     shares = []
     for name, jobs in report["classes"].items():
-        wanted = max(jobs["accepted"] - jobs["cancelled"], 1)
-        shares.append((name, jobs["started"] / wanted, jobs["done"] / wanted))
-    found.lowest = min(shares, key=lambda share: min(share[1:]), default=found.lowest)
+        expected = max(jobs["accepted"] - jobs["cancelled"], 1)
+        shares.append((name, jobs["started"] / expected, jobs["done"] / expected))
+    outcome.lowest_class = min(shares, key=lambda share: min(share[1:]), default=outcome.lowest_class)
     teams = [(name, jobs["started"] / max(jobs["jobs"], 1)) for name, jobs in report.get("teams", {}).items()]
-    found.team = min(teams, key=lambda share: share[1], default=found.team)
-    ended = 0
+    outcome.lowest_team = min(teams, key=lambda share: share[1], default=outcome.lowest_team)
+    ended_processes = 0
     for node in report["node_stats"]:
-        found.memory_mb = max(found.memory_mb, node["memory_peak_mb"])
-        found.connections = max(found.connections, node["connections_peak"])
-        ended += sum(restart["why"] != "fault" for restart in node["restarts"]) + node["panics"]
+        outcome.memory_mb = max(outcome.memory_mb, node["memory_peak_mb"])
+        outcome.connections = max(outcome.connections, node["connections_peak"])
+        ended_processes += sum(restart["why"] != "fault" for restart in node["restarts"]) + node["panics"]
     if report["rules_broken"]["total"]:
-        found.reasons.append(f"rules: {report['rules_broken']['by_kind']}")
-    if min(found.lowest[1:]) < SERVED:
-        found.reasons.append(f"{found.lowest[0]} below half")
-    if found.team[1] < SERVED:
-        found.reasons.append(f"team {found.team[0]} below half")
-    if ended:
-        found.reasons.append(f"{ended} processes ended by themselves")
-    if found.cost > bound:
-        found.reasons.append(f"costs over {bound:g}")
-    return found
+        outcome.reasons.append(f"rules: {report['rules_broken']['by_kind']}")
+    if min(outcome.lowest_class[1:]) < MIN_SERVED_SHARE:
+        outcome.reasons.append(f"{outcome.lowest_class[0]} below half")
+    if outcome.lowest_team[1] < MIN_SERVED_SHARE:
+        outcome.reasons.append(f"team {outcome.lowest_team[0]} below half")
+    if ended_processes:
+        outcome.reasons.append(f"{ended_processes} processes ended by themselves")
+    if outcome.cost > max_cost:
+        outcome.reasons.append(f"costs over {max_cost:g}")
+    return outcome
 
 
-_UNBEGUN = re.compile(r"(\S+) of (\S+) has not begun after \d+ s: \d+ tasks, (among|not among) the largest")
+_NOT_STARTED_LINE = re.compile(r"(\S+) of (\S+) has not begun after \d+ s: \d+ tasks, (among|not among) the largest")
 
 
-def judge_begins(found: Outcome, said: str) -> None:
-    """Reads the service's log: each job is told of once by each leader that it waits under."""
-    late = {job: (jobclass, size == "among") for job, jobclass, size in _UNBEGUN.findall(said)}
-    found.unbegun = len(late)
-    largest = Counter(jobclass for jobclass, largest in late.values() if largest)
-    found.reasons += [f"{count} of the largest of {name} not begun" for name, count in sorted(largest.items())]
+def evaluate_start_delays(outcome: Outcome, output: str) -> None:
+    """Evaluates the service's log. Every leader under which a job waits logs the job once; here it is counted once."""
+    delayed_jobs = {job: (jobclass, size == "among") for job, jobclass, size in _NOT_STARTED_LINE.findall(output)}
+    outcome.not_started = len(delayed_jobs)
+    largest = Counter(jobclass for jobclass, is_largest in delayed_jobs.values() if is_largest)
+    outcome.reasons += [f"{count} of the largest of {name} not begun" for name, count in sorted(largest.items())]
 
 
-_MARK = re.compile(r"^\S+ +\d+ +([\d.]+) +\d+/\d+", re.MULTILINE)
+_MARK_LINE = re.compile(r"^\S+ +\d+ +([\d.]+) +\d+/\d+", re.MULTILINE)
 
 
-def run(bench: str, play: Play, site: Path, bound: float, until: float | None) -> Outcome:
+def run_scenario(bench: str, scenario_run: ScenarioRun, site: Path, max_cost: float, until: float | None) -> Outcome:
+    """Runs the bench's program on one scenario and evaluates its report and output."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder, "report.json")
-        call = [bench, "run", str(site), play.day, "--report", str(report), "--log", "error"]
-        call += ["--seed", str(play.seed)] if play.seed is not None else []
-        call += ["--until", str(until)] if until is not None else []
-        ran = subprocess.run(call, capture_output=True, text=True, check=False)
-        said = ran.stdout + ran.stderr
+        command = [bench, "run", str(site), scenario_run.scenario, "--report", str(report), "--log", "error"]
+        command += ["--seed", str(scenario_run.seed)] if scenario_run.seed is not None else []
+        command += ["--until", str(until)] if until is not None else []
+        process = subprocess.run(command, capture_output=True, text=True, check=False)
+        output = process.stdout + process.stderr
         try:
-            found = judge(play, json.loads(report.read_text()), bound)
+            outcome = evaluate_report(scenario_run, json.loads(report.read_text()), max_cost)
         except (OSError, ValueError, KeyError) as error:
-            return Outcome(play, reasons=[f"not played to its end ({error!r}): {said.strip()[-300:]}"])
-    judge_begins(found, said)
-    mark = _MARK.search(said)
-    found.mark = float(mark[1]) if mark else None
-    if ran.returncode:
-        found.reasons.append(f"the bench ended with {ran.returncode}")
-    return found
+            return Outcome(scenario_run, reasons=[f"did not run to its end ({error!r}): {output.strip()[-300:]}"])
+    evaluate_start_delays(outcome, output)
+    mark = _MARK_LINE.search(output)
+    outcome.mark = float(mark[1]) if mark else None
+    if process.returncode:
+        outcome.reasons.append(f"the bench ended with {process.returncode}")
+    return outcome
 
 
-def write_site(folder: Path, play: Play, site: Site) -> Path:
-    """The site file with what the bench wants beside it."""
+def write_site(folder: Path, scenario_run: ScenarioRun, site: Site) -> Path:
+    """Writes the site file, and copies the files that the bench expects beside it."""
     folder.mkdir(parents=True, exist_ok=True)
-    path = folder / f"{play.site.stem}{'-larger' if play.size > 1 else ''}-{play.size:g}.toml"
+    path = folder / f"{scenario_run.site.stem}{'-larger' if scenario_run.size > 1 else ''}-{scenario_run.size:g}.toml"
     path.write_text(tomli_w.dumps(site))
-    for name, source in (("wire.json", play.site.parent / "wire.json"), (None, play.site.with_suffix(".days"))):
+    for name, source in (
+        ("wire.json", scenario_run.site.parent / "wire.json"),
+        (None, scenario_run.site.with_suffix(".days")),
+    ):
         if source.exists():
             shutil.copyfile(source, folder / name if name else path.with_suffix(".days"))
     return path
 
 
-def plays(sites: list[Path], sizes: list[float], days: list[str], seeds: list[int]) -> Iterator[Play]:
+def scenario_runs(sites: list[Path], sizes: list[float], days: list[str], seeds: list[int]) -> Iterator[ScenarioRun]:
+    """All combinations; without ``days``, all scenarios of each site."""
     for site in sites:
         names = days or [day["name"] for day in tomllib.loads(site.read_text()).get("day", [])]
         for size in sizes:
-            for day in names:
+            for scenario in names:
                 for seed in seeds or [None]:
-                    yield Play(site, size, day, seed)
+                    yield ScenarioRun(site, size, scenario, seed)
 
 
 def table(outcomes: list[Outcome]) -> Table:
-    shown = Table("site", "size", "day", "seed", "mark", "cost", "lowest class started, done", "team", "killed", "MB",
+    rows = Table("site", "size", "day", "seed", "mark", "cost", "lowest class started, done", "team", "killed", "MB",
                   "connections", "not begun", "fails")  # fmt: skip
-    for found in outcomes:
-        play = found.play
-        shown.add_row(
-            play.site.stem,
-            f"{play.size:g}",
-            Path(play.day).stem,
-            "" if play.seed is None else str(play.seed),
-            "" if found.mark is None else f"{found.mark:.2f}",
-            f"{found.cost:.0f}",
-            f"{found.lowest[0]} {found.lowest[1]:.2f}, {found.lowest[2]:.2f}",
-            f"{found.team[1]:.2f}",
-            str(found.killed),
-            f"{found.memory_mb:.0f}",
-            str(found.connections),
-            str(found.unbegun),
-            "; ".join(found.reasons),
+    for outcome in outcomes:
+        scenario_run = outcome.scenario_run
+        rows.add_row(
+            scenario_run.site.stem,
+            f"{scenario_run.size:g}",
+            Path(scenario_run.scenario).stem,
+            "" if scenario_run.seed is None else str(scenario_run.seed),
+            "" if outcome.mark is None else f"{outcome.mark:.2f}",
+            f"{outcome.cost:.0f}",
+            f"{outcome.lowest_class[0]} {outcome.lowest_class[1]:.2f}, {outcome.lowest_class[2]:.2f}",
+            f"{outcome.lowest_team[1]:.2f}",
+            str(outcome.killed_tasks),
+            f"{outcome.memory_mb:.0f}",
+            str(outcome.connections),
+            str(outcome.not_started),
+            "; ".join(outcome.reasons),
         )
-    return shown
+    return rows
 
 
 @click.command()
 @click.option("--bench", required=True, help="the bench's program")
 @click.option("--site", "sites", multiple=True, required=True, type=click.Path(exists=True, path_type=Path))
-@click.option("--day", "days", multiple=True, help="a standard day or a file; several may be given")
+@click.option("--day", "days", multiple=True, help="name of a standard scenario or a file; may be repeated")
 @click.option("--size", "sizes", multiple=True, type=float, default=(1.0, 1.5), show_default=True)
-@click.option("--seed", "seeds", multiple=True, type=int, help="instead of each day's own")
-@click.option("--machines-only", is_flag=True, help="a larger site has no more load")
+@click.option("--seed", "seeds", multiple=True, type=int, help="instead of each scenario's own seed; may be repeated")
+@click.option("--machines-only", is_flag=True, help="enlarge only the machines, not the load")
 @click.option(
-    "--back", "back_s", type=float, default=0.3, show_default=True, help="seconds until an ended process is back"
+    "--back", "back_s", type=float, default=0.3, show_default=True, help="seconds until an ended process is restarted"
 )
-@click.option("--nodes", type=int, help="so many controllers")
-@click.option("--bound", default=100.0, show_default=True, help="most that a day may cost")
-@click.option("--until", type=float, help="seconds of each day that are played")
-@click.option("--jobs", default=4, show_default=True, help="days at once")
+@click.option("--nodes", type=int, help="number of controllers")
+@click.option("--bound", default=100.0, show_default=True, help="maximum cost of a scenario")
+@click.option("--until", type=float, help="seconds after which each scenario is stopped")
+@click.option("--jobs", default=4, show_default=True, help="scenarios run in parallel")
 def main(
     bench: str,
     sites: tuple[Path, ...],
@@ -217,25 +226,32 @@
     until: float | None,
     jobs: int,
 ) -> None:
-    """Plays days at several sizes and prints one table of what came of them."""
+    """Runs scenarios at several sizes and prints a table of their results."""
     console = Console(width=200)
-    wanted = list(plays(list(sites), list(sizes), list(days), list(seeds)))
+    planned = list(scenario_runs(list(sites), list(sizes), list(days), list(seeds)))
     with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(jobs) as pool:
         written: dict[tuple[Path, float], Path] = {}
-        for play in wanted:
-            if (play.site, play.size) not in written:
-                loaded = tomllib.loads(play.site.read_text())
-                site = enlarged(loaded, play.size, machines_only=machines_only, back_s=back_s, nodes=nodes)
-                written[play.site, play.size] = write_site(Path(folder), play, site)
+        for scenario_run in planned:
+            if (scenario_run.site, scenario_run.size) not in written:
+                loaded = tomllib.loads(scenario_run.site.read_text())
+                site = scale_site(
+                    loaded, scenario_run.size, machines_only=machines_only, restart_delay_s=back_s, nodes=nodes
+                )
+                written[scenario_run.site, scenario_run.size] = write_site(Path(folder), scenario_run, site)
         with Progress(console=console) as progress:
-            shown = progress.add_task("days", total=len(wanted))
-            running = [pool.submit(run, bench, play, written[play.site, play.size], bound, until) for play in wanted]
+            bar = progress.add_task("scenarios", total=len(planned))
+            futures = [
+                pool.submit(
+                    run_scenario, bench, scenario_run, written[scenario_run.site, scenario_run.size], bound, until
+                )
+                for scenario_run in planned
+            ]
             outcomes = []
-            for each in running:
-                outcomes.append(each.result())
-                progress.advance(shown)
+            for future in futures:
+                outcomes.append(future.result())
+                progress.advance(bar)
     console.print(table(outcomes))
-    sys.exit(any(found.reasons for found in outcomes))
+    sys.exit(any(outcome.reasons for outcome in outcomes))
 
 
 if __name__ == "__main__":
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bench.acceptance import Play, enlarged, judge
+from bench.acceptance import ScenarioRun, evaluate_report, scale_site
 
 SITE: dict[str, Any] = {
     "nodes": {"count": 3, "restart_delay_s": 5.0},
@@ -37,24 +37,24 @@
 
 
 def test_a_site_half_as_large_again() -> None:
-    grown = enlarged(SITE, 1.5, machines_only=False, back_s=0.3, nodes=None)
+    grown = scale_site(SITE, 1.5, machines_only=False, restart_delay_s=0.3, nodes=None)
     assert grown["capacity"] == [{"type": "box", "zone": "a", "count": 150, "spot": 46}]
     assert grown["machines"] == [{"type": "box", "zone": "a", "spot": False, "count": 10}]
     assert (grown["jobs"][0]["arrivals"]["rate"], grown["jobs"][0]["initial"]) == (pytest.approx(0.6), 15)
     assert grown["teams"][0] == {"name": "red", "weight": 0.5, "cpus": 15.0, "cpus_max": 30.0}
     assert grown["nodes"] == {"count": 3, "restart_delay_s": 0.3}
-    alone = enlarged(SITE, 1.5, machines_only=True, back_s=None, nodes=7)
+    alone = scale_site(SITE, 1.5, machines_only=True, restart_delay_s=None, nodes=7)
     assert (alone["capacity"][0]["count"], alone["jobs"], alone["teams"]) == (150, SITE["jobs"], SITE["teams"])
     assert alone["nodes"] == {"count": 7, "restart_delay_s": 5.0}
 
 
 def test_a_day_that_is_well() -> None:
-    found = judge(Play(Path("site.toml"), 1.5, "calm", None), REPORT, 50.0)
-    assert (found.reasons, found.cost, found.lowest, found.memory_mb) == ([], 40.0, ("c", 0.75, 0.6), 40.5)
+    found = evaluate_report(ScenarioRun(Path("site.toml"), 1.5, "calm", None), REPORT, 50.0)
+    assert (found.reasons, found.cost, found.lowest_class, found.memory_mb) == ([], 40.0, ("c", 0.75, 0.6), 40.5)
 
 
 @pytest.mark.parametrize("why", FAILS)
 def test_a_day_that_fails(why: str) -> None:
-    found = judge(Play(Path("site.toml"), 1.5, "calm", None), {**REPORT, **FAILS[why]}, 50.0)
+    found = evaluate_report(ScenarioRun(Path("site.toml"), 1.5, "calm", None), {**REPORT, **FAILS[why]}, 50.0)
     assert len(found.reasons) == 1
     assert why in found.reasons[0]
