--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins of the outside systems, over real HTTP on loopback.
+"""Stand-ins for the external systems (state service, cloud, workers, users), over real HTTP on loopback.
 
-They speak the protocol as far as the service uses it. ``python -m tests.standins``
-runs a small cluster of them with controllers, for trying things by hand.
+They implement the part of the protocol that the controllers use. ``python -m tests.standins`` runs
+three controllers with them, for manual tests.
 """
--- a/tests/standins/simulated_time.py
+++ b/tests/standins/simulated_time.py
@@ -1,7 +1,7 @@
-"""Time that passes only when nothing is left to do, so that minutes of a cluster take seconds.
+"""Event loop and clock with simulated time, which runs minutes of cluster time in seconds.
 
-All parts run in one process and speak over loopback, as in the other tests; only the clock is
-simulated: whenever no socket has anything to read, it jumps to the next timer.
+All parts run in one process and communicate over loopback, as in the other tests. Only the clock is
+simulated: when no socket has data to read, it advances to the next timer.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 
 from gingerspar.transport.clock import Clock
 
-BEGAN = datetime(2026, 1, 1, tzinfo=UTC)
-DELIVERY = 0.0002  # seconds of real time after which what was sent over loopback has surely arrived
+START_TIME = datetime(2026, 1, 1, tzinfo=UTC)
+DELIVERY_S = 0.0002  # real time within which data sent over loopback arrives
 
 
 class _Selector(selectors.DefaultSelector):
@@ -26,17 +26,17 @@
         ready = super().select(0)
         if ready or (timeout is not None and timeout <= 0):
             return ready
-        time.sleep(DELIVERY)
+        time.sleep(DELIVERY_S)
         ready = super().select(0)
         if not ready and timeout is None:
-            raise RuntimeError("everything waits, and for nothing")
+            raise RuntimeError("deadlock: no timer is set and no socket has data to read")
         if not ready:
             self.now += timeout or 0.0
         return ready
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """A loop on whose clock nothing but its timers takes time."""
+    """An event loop whose time advances only to the next timer."""
 
     def __init__(self) -> None:
         self._simulated = _Selector()
@@ -47,16 +47,16 @@
 
 
 class SimulatedClock(Clock):
-    """The running loop's clock."""
+    """The time of the running event loop, counted from ``START_TIME``."""
 
     def now(self) -> timedelta:
         return timedelta(seconds=asyncio.get_running_loop().time())
 
     def today(self) -> datetime:
-        return BEGAN + self.now()
+        return START_TIME + self.now()
 
 
-def play(scene: Coroutine[Any, Any, None], most: timedelta = timedelta(minutes=10)) -> None:
-    """Runs a scene to its end, ``most`` of simulated time at the longest."""
+def run_simulated(scenario: Coroutine[Any, Any, None], time_limit: timedelta = timedelta(minutes=10)) -> None:
+    """Runs a scenario to its end; raises TimeoutError after ``time_limit`` of simulated time."""
     with asyncio.Runner(loop_factory=SimulatedLoop) as runner:
-        runner.run(asyncio.wait_for(scene, most.total_seconds()))
+        runner.run(asyncio.wait_for(scenario, time_limit.total_seconds()))
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -1,4 +1,4 @@
-"""Stand-in of the state service."""
+"""Stand-in for the state service."""
 
 import asyncio
 import base64
@@ -15,11 +15,11 @@
     return Answer(status, msgspec.json.encode(body))
 
 
-GIVEN_UP = 12.0  # seconds after which nobody waits for an answer any more
+CLIENT_TIMEOUT_S = 12.0  # no client waits longer than this for a response
 
 
 class StateService:
-    """Keys with versions, transactions, leases and changes; all in memory."""
+    """Versioned keys, transactions, leases and change events, in memory, with failures that tests can switch on."""
 
     def __init__(self) -> None:
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
@@ -28,21 +28,21 @@
         self.leases: dict[int, tuple[float, float]] = {}
         self.next_lease = 1
         self.down = False
-        self.refused: set[str] = set()  # nodes that alone get 503
-        self.slow: Callable[[], float] = lambda: 0.0  # seconds that an answer takes
-        # By how much later a transaction is carried out, unanswered; 0: at once. Given its writes.
-        self.late: Callable[[list[dict[str, Any]]], float] = lambda writes: 0.0
-        # Whether a transaction is carried out at once and only its answer is lost. Given its writes.
-        self.unanswered: Callable[[list[dict[str, Any]]], bool] = lambda writes: False
-        self.next_leader: Callable[[], None] = lambda: None  # called when the term has changed
-        self.broken: list[str] = []  # changes that must never be, whoever sends them and however late
-        self.on_machines: Callable[[], set[str]] = set  # machines with tasks
+        self.refused_nodes: set[str] = set()  # nodes whose requests get 503
+        self.response_delay: Callable[[], float] = lambda: 0.0  # seconds before a request is handled
+        # Seconds by which a transaction is delayed, given its writes. Its sender may time out before; 0: no delay.
+        self.commit_delay: Callable[[list[dict[str, Any]]], float] = lambda writes: 0.0
+        # Whether a transaction is carried out but its response is lost, given its writes.
+        self.drops_response: Callable[[list[dict[str, Any]]], bool] = lambda writes: False
+        self.on_term_change: Callable[[], None] = lambda: None  # called when the term record has been written
+        self.violations: list[str] = []  # writes that no controller may make, however late they arrive
+        self.machines_with_tasks: Callable[[], set[str]] = set  # names of the machines that have tasks
         self.servers: list[Server] = []
-        # What is done with a raise of the term instead of carrying it out; given the node and the raise itself.
-        self.on_raise: Callable[[str, Callable[[], Answer]], Awaitable[Answer]] | None = None
+        # Replaces transactions that write the term record; given the node and a function that commits the transaction.
+        self.on_term_write: Callable[[str, Callable[[], Answer]], Awaitable[Answer]] | None = None
 
     def listen(self, port: int, node: str) -> None:
-        """An address of its own for each node, so that one can be refused alone."""
+        """Each node has its own port, so that requests of a single node can be refused."""
 
         async def handle(request: Request) -> Answer:
             return await self.handle(request, node)
@@ -55,23 +55,25 @@
             server.stop()
 
     async def handle(self, request: Request, node: str) -> Answer:
-        await asyncio.sleep(self.slow())
-        if self.down or node in self.refused:
+        await asyncio.sleep(self.response_delay())
+        if self.down or node in self.refused_nodes:
             return answer(503, {"error": "trouble"})
         self.expire()
         query = {name: values[0] for name, values in parse_qs(request.query).items()}
         if request.path == "/commit":
             body = msgspec.json.decode(request.body)
-            if self.on_raise is not None and any(write.get("Put") == "gs/term" for write in body.get("Writes", [])):
-                return await self.on_raise(node, lambda: self.commit(body))
-            late = self.late(body.get("Writes", []))
-            if late > 0:
-                await asyncio.sleep(late)  # its sender has given up meanwhile
+            if self.on_term_write is not None and any(
+                write.get("Put") == "gs/term" for write in body.get("Writes", [])
+            ):
+                return await self.on_term_write(node, lambda: self.commit(body))
+            delay_s = self.commit_delay(body.get("Writes", []))
+            if delay_s > 0:
+                await asyncio.sleep(delay_s)  # the sender may have timed out meanwhile
                 self.expire()
-            done = self.commit(body)
-            if self.unanswered(body.get("Writes", [])):
-                await asyncio.sleep(GIVEN_UP)
-            return done
+            response = self.commit(body)
+            if self.drops_response(body.get("Writes", [])):
+                await asyncio.sleep(CLIENT_TIMEOUT_S)
+            return response
         if request.path == "/changes":
             since = int(query["Since"])
             found = [e for e in self.events if e["Stamp"] > since and self._key(e).startswith(query["Prefix"])]
@@ -101,22 +103,22 @@
         return event.get("Put") or event["Remove"]
 
     def expire(self) -> None:
-        over = {lease for lease, (_, end) in self.leases.items() if end < self.now()}
-        for lease in over:
+        expired_leases = {lease for lease, (_, end) in self.leases.items() if end < self.now()}
+        for lease in expired_leases:
             del self.leases[lease]
-        gone = [key for key, (_, _, lease) in self.keys.items() if lease in over]
-        if gone:
+        expired_keys = [key for key, (_, _, lease) in self.keys.items() if lease in expired_leases]
+        if expired_keys:
             self.revision += 1
-            for key in gone:
+            for key in expired_keys:
                 del self.keys[key]
                 self.events.append({"Remove": key, "Stamp": self.revision})
 
     def page(self, query: dict[str, str]) -> Answer:
-        most = int(query.get("Most", 1000))
+        page_size = int(query.get("Most", 1000))
         since = query.get("Since", "")
         names = sorted(key for key in self.keys if key.startswith(query["Prefix"]) and key > since)
-        rows = [{"K": key, "Data": self.keys[key][0], "Stamp": self.keys[key][1]} for key in names[:most]]
-        return answer(200, {"Rows": rows, "Truncated": len(names) > most, "Epoch": self.revision})
+        rows = [{"K": key, "Data": self.keys[key][0], "Stamp": self.keys[key][1]} for key in names[:page_size]]
+        return answer(200, {"Rows": rows, "Truncated": len(names) > page_size, "Epoch": self.revision})
 
     def commit(self, body: dict[str, Any]) -> Answer:
         failed = [c["K"] for c in body.get("If", []) if self.keys.get(c["K"], (None, 0, None))[1] != c["Stamp"]]
@@ -127,41 +129,42 @@
             return answer(400, {"error": "no such lease"})
         self.revision += bool(writes)
         for write in writes:
-            self.check(write)
+            self.check_write(write)
             if "Put" in write:
                 self.keys[write["Put"]] = (write["Data"], self.revision, write.get("Hold"))
                 self.events.append({"Put": write["Put"], "Data": write["Data"], "Stamp": self.revision})
                 if write["Put"] == "gs/term":
-                    self.next_leader()
+                    self.on_term_change()
             elif self.keys.pop(write["Remove"], None) is not None:
                 self.events.append({"Remove": write["Remove"], "Stamp": self.revision})
         return answer(200, {"Epoch": self.revision})
 
-    def check(self, write: dict[str, Any]) -> None:
-        """What a change that is carried out late, after newer ones, would undo."""
+    def check_write(self, write: dict[str, Any]) -> None:
+        """Records a violation if the write undoes a newer one, as a write that is carried out late could."""
         key = write.get("Put") or write["Remove"]
         old, new = self.keys.get(key, (None, 0, None))[0], write.get("Data")
         if old is None:
             return
         if key.startswith("gs/j/"):
             if new is None or old["status"] in ("done", "aborted"):
-                self.broken.append(f"{key} was {old['status']} and changes")
+                self.violations.append(f"{key} was {old['status']} and changes")
             elif new["status"] not in ("done", "aborted"):
                 if new.get("attempt", 0) < old.get("attempt", 0):
-                    self.broken.append(f"{key}: attempt {old['attempt']} -> {new.get('attempt', 0)}")
+                    self.violations.append(f"{key}: attempt {old['attempt']} -> {new.get('attempt', 0)}")
                 if old["status"] == new["status"] == "running" and old["claimant"] != new["claimant"]:
-                    self.broken.append(f"{key} is taken from {old['claimant']}")
-                if bits(old) & ~bits(new):
-                    self.broken.append(f"{key} forgets finished tasks")
+                    self.violations.append(f"{key}: claim taken from {old['claimant']}")
+                if finished_bits(old) & ~finished_bits(new):
+                    self.violations.append(f"{key} loses finished tasks")
         elif key == "gs/term" and (new is None or new["term"] <= old["term"]):
-            self.broken.append(f"{key}: {old} -> {new}")
+            self.violations.append(f"{key}: {old} -> {new}")
         elif key.startswith("gs/n/") and new is not None and new["lease"] < old["lease"]:
-            self.broken.append(f"{key}: an older session")
+            self.violations.append(f"{key}: overwritten by an older session")
         elif key.startswith("gs/r/"):
-            lost = self.on_machines() & set(old["names"]) - set(new["names"] if new is not None else ())
+            lost = self.machines_with_tasks() & set(old["names"]) - set(new["names"] if new is not None else ())
             if lost:
-                self.broken.append(f"{key} loses {sorted(lost)}")
+                self.violations.append(f"{key} loses {sorted(lost)}")
 
 
-def bits(record: dict[str, Any]) -> int:
+def finished_bits(record: dict[str, Any]) -> int:
+    """The finished tasks of a job record, one bit for each task."""
     return int.from_bytes(base64.b64decode(record.get("finished", "")), "little")
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -1,60 +1,61 @@
-"""Stand-in of the users: they submit, ask, cancel and repeat themselves, and check what they are told."""
+"""Stand-in for the users: submits, queries, cancels and resubmits jobs, and checks every response."""
 
 import asyncio
 from random import Random
 from typing import Any
 
-from tests.standins.cluster import NAMES, Cluster, job
+from tests.standins.cluster import NODE_NAMES, Cluster, job
 
-LOOKS = (0.0, 0.005, 0.03, 0.3)  # seconds after news at which all controllers are asked
-WAITED = 90.0  # seconds that no job may wait for a machine that has room, once all troubles are over
-ASK = 2.0  # seconds between two questions about a job
-PATIENCE = 2.0
-REPEATED_FOR = 60.0
-FORGOTTEN = 75.0  # without an answer about a job, once all troubles are over
-FINAL = ("done", "aborted")
+STATUS_CHECK_DELAYS_S = (0.0, 0.005, 0.03, 0.3)  # all controllers are queried at these times after a change of a job
+MAX_WAIT_S = 90.0  # after the last failure has ended, no job may wait longer although a machine has capacity
+POLL_INTERVAL_S = 2.0  # mean interval between two status queries for a job
+REQUEST_TIMEOUT_S = 2.0  # of all requests but POST, which has 5 s
+SUBMIT_RETRY_S = 60.0  # a submission is repeated for this long
+MAX_SILENCE_S = 75.0  # after the last failure has ended, no job may be without a status response for longer
+FINAL_STATUSES = ("done", "aborted")
 
 
 class Users:
-    """Any request goes to any controller, as after a load balancer's choice."""
+    """Sends each request to a random controller, as a load balancer does, and records violations of the API's rules."""
 
     def __init__(self, cluster: Cluster, random: Random) -> None:
         self.cluster = cluster
         self.random = random
-        self.over: float | None = None  # when all troubles were
+        self.failures_ended_at: float | None = None  # when the last failure ended
         self.accepted: set[str] = set()
-        self.asked_to_cancel: set[str] = set()
-        self.told: dict[str, str] = {}  # done or aborted, by job
-        self.answered: dict[str, float] = {}
-        self.at_last = 0.0  # the longest time that any job had no answer after the end of all troubles
-        self.lives: list[asyncio.Task[None]] = []
+        self.cancel_requested: set[str] = set()
+        self.final_status: dict[str, str] = {}  # by job: done or aborted, as reported to its user
+        self.answered_at: dict[str, float] = {}  # by job: time of the last status response
+        self.longest_silence_s = 0.0  # longest time without a status response for a job, after the last failure
+        self.lifecycles: list[asyncio.Task[None]] = []  # everything that users do with jobs
         self.specs: dict[str, dict[str, Any]] = {}
-        self.looks = False  # whether all controllers are asked at once whenever a job was accepted, ended or cancelled
-        self.odd = 0  # number of the last job that was sent though it can't run
-        self.waits: dict[str, float] = {}  # since when a job has waited though a machine has room, by job
+        # Whether all controllers are queried at once when a job was accepted, ended or cancelled.
+        self.status_checks = False
+        self.invalid_jobs = 0  # number of invalid submissions
+        self.waiting_since: dict[str, float] = {}  # by job: since when it has waited although a machine has capacity
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def broken(self, rule: str, what: str) -> None:
-        self.cluster.cloud.broken.append(f"{rule}: {what} at {self.now():.1f}")
+    def report_violation(self, rule: str, details: str) -> None:
+        self.cluster.cloud.violations.append(f"{rule}: {details} at {self.now():.1f}")
 
-    def begin(self, jobs: int, within: float, cancelled: float) -> None:
-        """``jobs`` of them are submitted within so many seconds, and a share of them cancelled."""
+    def start(self, jobs: int, within_s: float, cancel_share: float) -> None:
+        """Submits ``jobs`` random jobs within ``within_s`` seconds and cancels a share of them."""
         for number in range(1, jobs + 1):
-            spec = self.specs[f"wk-{number:06d}"] = self.draw(number)
+            spec = self.specs[f"wk-{number:06d}"] = self.random_job(number)
             self.cluster.cloud.jobs[spec["Ref"]] = spec
-            at = self.random.uniform(0, within)
-            cancel = self.random.uniform(1, 40) if self.random.random() < cancelled else None
-            self.lives.append(asyncio.ensure_future(self.live(spec, at, cancel)))
+            start_after_s = self.random.uniform(0, within_s)
+            cancel_after_s = self.random.uniform(1, 40) if self.random.random() < cancel_share else None
+            self.lifecycles.append(asyncio.ensure_future(self.run_lifecycle(spec, start_after_s, cancel_after_s)))
 
-    def draw(self, number: int) -> dict[str, Any]:
+    def random_job(self, number: int) -> dict[str, Any]:
         gang = self.random.random() < 0.4
-        pieces = self.random.choice([2, 3]) if gang or self.random.random() < 0.7 else self.random.randint(4, 9)
+        tasks = self.random.choice([2, 3]) if gang or self.random.random() < 0.7 else self.random.randint(4, 9)
         return job(
             number,
             Shape="gang" if gang else "batch",
-            Pieces=pieces,
+            Pieces=tasks,
             Urgency=self.random.choice(["urgent", "standard"]),
             Crew=self.random.choice(list(self.cluster.limits)),
             SamePlace=gang and self.random.random() < 0.5,
@@ -63,162 +64,173 @@
             ImageGb=0.0,
         )
 
-    async def ask(self, method: str, path: str, body: Any = None, node: str | None = None) -> tuple[int, Any]:
-        """Any controller is asked, unless it is said which."""
-        name = node or self.random.choice([name for name in NAMES if name in self.cluster.nodes] or list(NAMES))
+    async def request(self, method: str, path: str, body: Any = None, node: str | None = None) -> tuple[int, Any]:
+        """Sends a request to ``node``, or to a random running controller; ``(0, None)`` without a response."""
+        name = node or self.random.choice(
+            [name for name in NODE_NAMES if name in self.cluster.nodes] or list(NODE_NAMES)
+        )
         try:
-            async with asyncio.timeout(5.0 if method == "POST" else PATIENCE):
-                return await self.cluster.ask(name, method, path, body)
+            async with asyncio.timeout(5.0 if method == "POST" else REQUEST_TIMEOUT_S):
+                return await self.cluster.request(name, method, path, body)
         except TimeoutError:
             return 0, None
 
-    async def live(self, spec: dict[str, Any], at: float, cancel: float | None) -> None:
-        """One job, from its submission until its end is told, and some questions and repeats after it."""
+    async def run_lifecycle(self, spec: dict[str, Any], start_after_s: float, cancel_after_s: float | None) -> None:
+        """Submits a job, queries it until its end was reported, and three times more, with some resubmissions."""
         name = spec["Ref"]
-        await asyncio.sleep(at)
-        began = self.now()
+        await asyncio.sleep(start_after_s)
+        started_at = self.now()
         while name not in self.accepted:
-            status, body = await self.ask("POST", "/v1/jobs", spec)
+            status, body = await self.request("POST", "/v1/jobs", spec)
             if status in (200, 201):
                 self.accepted.add(name)
-                self.hear(name, body, None)
-                self.look(name)
-            elif status in (400, 422) or self.now() - began > REPEATED_FOR:
+                self.record_status(name, body, None)
+                self.start_status_check(name)
+            elif status in (400, 422) or self.now() - started_at > SUBMIT_RETRY_S:
                 assert status not in (400, 422), body
                 return
             else:
                 await asyncio.sleep(1)
-        self.answered[name] = self.now()
-        canceller = asyncio.ensure_future(self.cancel(name, cancel)) if cancel is not None else None
-        rest = 3
-        while rest:
-            await asyncio.sleep(self.random.uniform(0.5, 1.5) * ASK)
-            await self.question(name)
+        self.answered_at[name] = self.now()
+        canceller = asyncio.ensure_future(self.cancel(name, cancel_after_s)) if cancel_after_s is not None else None
+        queries_after_end = 3
+        while queries_after_end:
+            await asyncio.sleep(self.random.uniform(0.5, 1.5) * POLL_INTERVAL_S)
+            await self.query_status(name)
             if self.random.random() < 0.1:
-                await self.repeat(spec)
-            rest -= name in self.told
+                await self.resubmit(spec)
+            queries_after_end -= name in self.final_status
         if canceller is not None:
             await canceller
 
-    async def question(self, name: str, node: str | None = None) -> None:
-        before = self.told.get(name)
-        status, body = await self.ask("GET", f"/v1/jobs/{name}", node=node)
+    async def query_status(self, name: str, node: str | None = None) -> None:
+        before = self.final_status.get(name)
+        status, body = await self.request("GET", f"/v1/jobs/{name}", node=node)
         if status == 404:
-            self.broken("forgotten", f"{name} is answered 404")
+            self.report_violation("forgotten", f"{name} is answered with 404")
         if status == 200:
-            self.hear(name, body, before)
-        if self.over is not None:
-            silent = self.now() - max(self.answered[name], self.over)
-            self.at_last = max(self.at_last, silent)
-            if silent > FORGOTTEN:
-                self.broken("forgotten", f"{name} is not answered about")
+            self.record_status(name, body, before)
+        if self.failures_ended_at is not None:
+            silence_s = self.now() - max(self.answered_at[name], self.failures_ended_at)
+            self.longest_silence_s = max(self.longest_silence_s, silence_s)
+            if silence_s > MAX_SILENCE_S:
+                self.report_violation("forgotten", f"{name} has no status response")
         if status == 200:
-            self.answered[name] = self.now()
+            self.answered_at[name] = self.now()
 
-    async def repeat(self, body: dict[str, Any], node: str | None = None) -> None:
-        """A job that was accepted is submitted again, perhaps with a body that lacks something."""
+    async def resubmit(self, body: dict[str, Any], node: str | None = None) -> None:
+        """Resubmits a job that was accepted, perhaps with an incomplete body; it must not be rejected."""
         name = body["Ref"]
-        before = self.told.get(name)
-        status, answer = await self.ask("POST", "/v1/jobs", body, node)
+        before = self.final_status.get(name)
+        status, answer = await self.request("POST", "/v1/jobs", body, node)
         if status in (400, 404, 422):
-            self.broken("forgotten", f"{name} is answered {status} when it is submitted again")
+            self.report_violation("forgotten", f"{name} is answered with {status} when it is resubmitted")
         if status in (200, 201):
-            self.hear(name, answer, before)
-
-    def look(self, name: str) -> None:
-        """There is news of a job: all controllers are asked at once, again and again."""
-        if self.looks:
-            self.lives.append(asyncio.ensure_future(self._look(name)))
-
-    async def _look(self, name: str) -> None:
-        began = self.now()
-        looks: list[asyncio.Task[None]] = []
-        for after in LOOKS:
-            await asyncio.sleep(max(began + after - self.now(), 0))
+            self.record_status(name, answer, before)
+
+    def start_status_check(self, name: str) -> None:
+        """After a change of a job: queries it and resubmits it at all controllers, after each of the delays."""
+        if self.status_checks:
+            self.lifecycles.append(asyncio.ensure_future(self._status_check(name)))
+
+    async def _status_check(self, name: str) -> None:
+        started_at = self.now()
+        checks: list[asyncio.Task[None]] = []
+        for delay_s in STATUS_CHECK_DELAYS_S:
+            await asyncio.sleep(max(started_at + delay_s - self.now(), 0))
             for node in self.cluster.nodes:
-                looks.append(asyncio.ensure_future(self.question(name, node)))
-                looks.append(asyncio.ensure_future(self.repeat(self.specs[name], node)))
-        await asyncio.gather(*looks)
-
-    async def send_odd(self) -> None:
-        """What users do by mistake: nothing of it may be accepted, and nothing that was accepted refused."""
-        self.odd += 1
-        number = 800_000 + self.odd
+                checks.append(asyncio.ensure_future(self.query_status(name, node)))
+                checks.append(asyncio.ensure_future(self.resubmit(self.specs[name], node)))
+        await asyncio.gather(*checks)
+
+    async def send_invalid_requests(self) -> None:
+        """Sends requests with typical mistakes of users.
+
+        Invalid jobs must be rejected; incomplete resubmissions and cancellations of done jobs must not change a job.
+        """
+        self.invalid_jobs += 1
+        number = 800_000 + self.invalid_jobs
         for changes, expected in (({"Cpus": 1e6}, 422), ({"Crew": "nobody"}, 422), ({"Pieces": None}, 400)):
-            status, _ = await self.ask("POST", "/v1/jobs", job(number, **changes))
+            status, _ = await self.request("POST", "/v1/jobs", job(number, **changes))
             if status in (200, 201, 400, 422) and status != expected:
-                self.broken("odd", f"a job with {changes} is answered {status}")
-        status, _ = await self.ask("GET", f"/v1/jobs/wk-{number}")
+                self.report_violation("odd", f"a job with {changes} is answered with {status}")
+        status, _ = await self.request("GET", f"/v1/jobs/wk-{number}")
         if status == 200:
-            self.broken("invented", f"a job that can't run: wk-{number}")
+            self.report_violation("invented", f"an invalid job: wk-{number}")
         if self.accepted:
-            await self.repeat({"Ref": self.random.choice(sorted(self.accepted)), "Pieces": -1})
-        over = sorted(name for name, status in self.told.items() if status == "done")
-        if over:
-            await self.cancel_once(self.random.choice(over))
-
-    async def cancel_some(self, after: float, most: int = 3, within: float = 0.0) -> list[str]:
-        """Several at once change their minds about jobs that run; which ones."""
-        await asyncio.sleep(after)
-        on_machines = sorted({task.partition("/")[0] for task in self.cluster.cloud.tasks()} - self.asked_to_cancel)
-        some = self.random.sample(on_machines, min(most, len(on_machines)))
-        for name in some:
-            self.lives.append(asyncio.ensure_future(self.cancel(name, self.random.uniform(0, within))))
-        return some
-
-    async def cancel(self, name: str, after: float) -> None:
-        await asyncio.sleep(after)
-        self.asked_to_cancel.add(name)
-        for _ in range(2):  # and once more later, when it was carried out
-            while not await self.cancel_once(name):
+            await self.resubmit({"Ref": self.random.choice(sorted(self.accepted)), "Pieces": -1})
+        done_jobs = sorted(name for name, status in self.final_status.items() if status == "done")
+        if done_jobs:
+            await self.request_cancel(self.random.choice(done_jobs))
+
+    async def cancel_running_jobs(self, delay_s: float, limit: int = 3, within_s: float = 0.0) -> list[str]:
+        """Waits ``delay_s`` and cancels up to ``limit`` running jobs within ``within_s`` seconds; returns their ids."""
+        await asyncio.sleep(delay_s)
+        running = sorted({task.partition("/")[0] for task in self.cluster.cloud.active_tasks()} - self.cancel_requested)
+        selected = self.random.sample(running, min(limit, len(running)))
+        for name in selected:
+            self.lifecycles.append(asyncio.ensure_future(self.cancel(name, self.random.uniform(0, within_s))))
+        return selected
+
+    async def cancel(self, name: str, delay_s: float) -> None:
+        await asyncio.sleep(delay_s)
+        self.cancel_requested.add(name)
+        for _ in range(2):  # the second time after it was confirmed
+            while not await self.request_cancel(name):
                 await asyncio.sleep(1)
             await asyncio.sleep(self.random.uniform(1, 20))
 
-    async def cancel_once(self, name: str) -> bool:
-        self.asked_to_cancel.add(name)
-        before = self.told.get(name)
-        status, body = await self.ask("POST", f"/v1/jobs/{name}/abort", b"")
+    async def request_cancel(self, name: str) -> bool:
+        self.cancel_requested.add(name)
+        before = self.final_status.get(name)
+        status, body = await self.request("POST", f"/v1/jobs/{name}/abort", b"")
         if status == 200:
-            self.hear(name, body, before)
+            self.record_status(name, body, before)
         return status == 200
 
-    def hear(self, name: str, body: dict[str, Any], before: str | None) -> None:
-        """``before``: the end of the job of which its user had been told when this was asked."""
+    def record_status(self, name: str, body: dict[str, Any], before: str | None) -> None:
+        """Checks a response that reports a job's status, and records the status.
+
+        ``before`` is the final status that had been reported to the user when the request was sent, if any.
+        """
         status = body["Status"]
-        told = self.told.get(name)
-        if (before or (told if status in FINAL else None)) not in (None, status):
-            self.broken("went_back", f"{name} was {before or told} and is {status}")
-        if status == "aborted" and name not in self.asked_to_cancel:
-            self.broken("went_back", f"{name} is called cancelled")
-        if status == "done" and len(self.cluster.cloud.done.get(name, ())) < self.cluster.cloud.jobs[name]["Pieces"]:
-            self.broken("not_done", name)
+        reported = self.final_status.get(name)
+        if (before or (reported if status in FINAL_STATUSES else None)) not in (None, status):
+            self.report_violation("went_back", f"{name} was {before or reported} and is {status}")
+        if status == "aborted" and name not in self.cancel_requested:
+            self.report_violation("went_back", f"{name} is reported as cancelled without a request")
+        if (
+            status == "done"
+            and len(self.cluster.cloud.done_tasks.get(name, ())) < self.cluster.cloud.jobs[name]["Pieces"]
+        ):
+            self.report_violation("not_done", name)
         if status == "aborted":
-            self.cluster.cloud.cancelled.setdefault(name, self.now())
-        if status in FINAL and told is None:
-            self.told[name] = status
-            self.look(name)
+            self.cluster.cloud.cancelled_at.setdefault(name, self.now())
+        if status in FINAL_STATUSES and reported is None:
+            self.final_status[name] = status
+            self.start_status_check(name)
 
     async def watch_waiting(self) -> None:
-        """Once all troubles are over: how long each job waits though a machine has room for it."""
+        """Checks every second, after the last failure has ended, how long jobs wait although a machine has capacity."""
         while True:
             await asyncio.sleep(1)
-            if self.over is not None:
-                self.see_waiting()
+            if self.failures_ended_at is not None:
+                self.check_waiting()
 
-    def see_waiting(self) -> None:
+    def check_waiting(self) -> None:
         cloud = self.cluster.cloud
-        on_machines = {task.partition("/")[0] for task in cloud.tasks()}
-        for name in sorted(self.accepted - self.told.keys() - self.asked_to_cancel):
-            if name in on_machines or not cloud.has_room(self.specs[name]):
-                self.waits.pop(name, None)
-            elif self.now() - self.waits.setdefault(name, self.now()) > WAITED:
-                self.broken("waits", f"{name} while a machine has room for it")
-                self.waits.pop(name)
-
-    async def probe(self) -> None:
-        """Somebody asks about jobs that nobody has submitted."""
+        running = {task.partition("/")[0] for task in cloud.active_tasks()}
+        for name in sorted(self.accepted - self.final_status.keys() - self.cancel_requested):
+            if name in running or not cloud.has_capacity(self.specs[name]):
+                self.waiting_since.pop(name, None)
+            elif self.now() - self.waiting_since.setdefault(name, self.now()) > MAX_WAIT_S:
+                self.report_violation("waits", f"{name} while a machine has capacity for it")
+                self.waiting_since.pop(name)
+
+    async def query_unknown_jobs(self) -> None:
+        """Queries jobs that nobody has submitted, every 5 s."""
         while True:
             await asyncio.sleep(5)
-            status, _ = await self.ask("GET", f"/v1/jobs/wk-{self.random.randint(900_000, 999_999)}")
+            status, _ = await self.request("GET", f"/v1/jobs/wk-{self.random.randint(900_000, 999_999)}")
             if status == 200:
-                self.broken("invented", "an unknown job")
+                self.report_violation("invented", "status of an unknown job")
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -1,4 +1,4 @@
-"""Stand-in of a worker: reports, runs arrays' tasks, keeps tokens and its lease."""
+"""Stand-in for a worker: sends reports, carries out commands, tracks the token and its lease."""
 
 import asyncio
 import contextlib
@@ -17,52 +17,56 @@
 if TYPE_CHECKING:
     from tests.standins.cloud import Cloud
 
-CPUS = 8.0
-LEASE = 4.0
-GIVES_UP = 4.0
-HOP = 0.02  # seconds from one controller to the one that it has named
+CPUS_PER_WORKER = 8.0
+LEASE_S = 4.0  # a worker without a valid response for this long drops its tasks
+REPORT_TIMEOUT_S = 4.0  # a response that arrives later is ignored
+REDIRECT_DELAY_S = 0.02  # between a redirect and the report to the controller that it names
 
 
-# Below those that the system gives to clients, which would take one between its choice and its use; each process
-# begins elsewhere, so that several may play at once.
+# The ports are below the range from which the system takes client ports, since a client could take a port between its
+# choice and its use. Each process starts at another port, so that several can run at once.
 _ports = itertools.cycle(range(10_000 + os.getpid() % 100 * 220, 32_000))
 
 
 def free_port() -> int:
-    """A port of loopback on which nothing listens."""
+    """A loopback port on which nothing listens."""
     for port in _ports:
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind(("127.0.0.1", port))
             return port
-    raise AssertionError("not reached: the ports are gone through again and again")
+    raise AssertionError("unreachable: the ports are cycled without end")
 
 
 class Worker:
-    """One machine."""
+    """One machine, with the worker that runs on it."""
 
     def __init__(self, cloud: "Cloud", name: str, type_name: str, zone: str, spot: bool) -> None:
         self.cloud = cloud
         self.name, self.type, self.zone, self.spot = name, type_name, zone, spot
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
-        self.life = 0  # grows whenever all its tasks are gone: what was planned for them is void
+        # Grows when the worker loses all its tasks; events that were scheduled for those tasks are ignored.
+        self.task_generation = 0
         self.nodes = list(cloud.controllers)
         self.node = self.nodes[0]
         self.changed = asyncio.Event()
-        self.deaf = False  # its reports arrive, no answer and no command reaches it
-        self.unordered = False  # commands sent directly don't reach it
-        self.reaches = set(self.nodes)  # others are behind a cut
-        self.orders_late = 0.0  # so many seconds after they were sent commands are carried out that are sent directly
-        self.answers_late: Callable[[], float] = lambda: 0.0  # so many seconds after they have come
-        self.hung_until = 0.0  # until then it does nothing at all
-        self.answered = 0.0  # when the last report that was answered had been sent
+        self.receives_nothing = False  # its reports arrive, but it receives neither responses nor commands
+        self.receives_no_commands = False  # it receives commands only in responses to its reports
+        self.reachable_nodes = set(self.nodes)  # connections to other nodes are refused
+        self.command_delay_s = 0.0  # seconds between the arrival and the execution of commands sent directly
+        self.answer_delay: Callable[[], float] = lambda: 0.0  # seconds by which a response to a report is late
+        self.paused_until = 0.0  # the worker does nothing until then
+        self.last_answered = 0.0  # when the last report with a valid response was sent
         self.address = f"127.0.0.1:{free_port()}"
         self.server = Server(self.handle)
         self.server.listen(int(self.address.rsplit(":", 1)[1]), "127.0.0.1")
-        self.loops = [asyncio.ensure_future(self.live()), asyncio.ensure_future(self.keep_lease())]
+        self.background_tasks = [
+            asyncio.ensure_future(self.report_loop()),
+            asyncio.ensure_future(self.expire_lease_loop()),
+        ]
 
     def stop(self) -> None:
-        for loop in self.loops:
+        for loop in self.background_tasks:
             loop.cancel()
         self.server.stop()
         self.drop_tasks()
@@ -71,51 +75,51 @@
         for key in list(self.tasks):
             self.end(key, "gone")
         self.tasks.clear()
-        self.life += 1
+        self.task_generation += 1
 
-    async def live(self) -> None:
+    async def report_loop(self) -> None:
         clock = asyncio.get_running_loop().time
         await asyncio.sleep(0.2)
         while True:
-            await self.while_hung()
+            await self.wait_while_paused()
             sent = clock()
             if await self.report(sent):
-                self.answered = sent
+                self.last_answered = sent
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.changed.wait(), self.cloud.report_seconds)
             self.changed.clear()
 
     @property
-    def hung(self) -> bool:
-        return asyncio.get_running_loop().time() < self.hung_until
+    def paused(self) -> bool:
+        return asyncio.get_running_loop().time() < self.paused_until
 
-    async def while_hung(self) -> None:
-        while self.hung:
-            await asyncio.sleep(self.hung_until - asyncio.get_running_loop().time())
+    async def wait_while_paused(self) -> None:
+        while self.paused:
+            await asyncio.sleep(self.paused_until - asyncio.get_running_loop().time())
 
-    def hang(self, seconds: float) -> None:
-        """It stands still; what it has been sent meanwhile it finds when it goes on."""
-        self.hung_until = max(self.hung_until, asyncio.get_running_loop().time() + seconds)
+    def pause(self, seconds: float) -> None:
+        """Suspends the worker. It handles what arrives meanwhile when it resumes."""
+        self.paused_until = max(self.paused_until, asyncio.get_running_loop().time() + seconds)
         for key in list(self.tasks):
-            self.cloud.stands_still(self, key, seconds)
+            self.cloud.on_worker_pause(self, key, seconds)
 
-    async def keep_lease(self) -> None:
-        """The lease runs out when it does, whatever the worker waits for.
+    async def expire_lease_loop(self) -> None:
+        """Drops all tasks when the lease expires, independently of what the worker waits for.
 
-        Also while it hangs: that its lease is over is the first thing that it finds out when it goes on.
+        The lease also expires during a pause: it is the first thing that the worker notices when it resumes.
         """
         clock = asyncio.get_running_loop().time
-        self.answered = clock()
+        self.last_answered = clock()
         while True:
-            await asyncio.sleep(max(self.answered + LEASE - clock(), 0.001))
-            if clock() - self.answered >= LEASE:
+            await asyncio.sleep(max(self.last_answered + LEASE_S - clock(), 0.001))
+            if clock() - self.last_answered >= LEASE_S:
                 self.session += 1
                 self.drop_tasks()
-                self.answered = clock()
+                self.last_answered = clock()
                 self.changed.set()
 
-    def describe(self) -> dict[str, Any]:
-        """The next report."""
+    def build_report(self) -> dict[str, Any]:
+        """Builds the next report and increments the sequence number."""
         self.seq += 1
         return {
             "Host": self.name, "Endpoint": self.address, "Build": self.type, "Hall": self.zone, "Loaners": self.spot,
@@ -124,66 +128,70 @@
         }  # fmt: skip
 
     def handle(self, request: Request) -> Answer | asyncio.Future[Answer]:
-        """What controllers ask it directly."""
-        if self.deaf or (self.unordered and request.path == "/commands"):
-            return asyncio.get_running_loop().create_future()  # as if it had not arrived
-        late = self.orders_late if request.path == "/commands" else 0.0
-        return asyncio.ensure_future(self.handle_late(request, late)) if late or self.hung else self.obey(request)
-
-    async def handle_late(self, request: Request, late: float) -> Answer:
-        await asyncio.sleep(late)
-        await self.while_hung()
-        return self.obey(request)
-
-    def obey(self, request: Request) -> Answer:
+        """Handles commands and probes that controllers send directly."""
+        if self.receives_nothing or (self.receives_no_commands and request.path == "/commands"):
+            return asyncio.get_running_loop().create_future()  # never completes: the request is lost
+        delay_s = self.command_delay_s if request.path == "/commands" else 0.0
+        return (
+            asyncio.ensure_future(self.process_request_later(request, delay_s))
+            if delay_s or self.paused
+            else self.process_request(request)
+        )
+
+    async def process_request_later(self, request: Request, delay_s: float) -> Answer:
+        await asyncio.sleep(delay_s)
+        await self.wait_while_paused()
+        return self.process_request(request)
+
+    def process_request(self, request: Request) -> Answer:
         status = 200
         if request.path == "/commands":
             orders = msgspec.json.decode(request.body)
             if orders["Baton"] < self.token or orders["Stint"] != self.session:
                 status = 409
             else:
-                self.hear(orders["Baton"])
+                self.update_token(orders["Baton"])
                 for command in orders["Orders"]:
                     self.execute(command)
-        return Answer(status, msgspec.json.encode(self.describe()))
+        return Answer(status, msgspec.json.encode(self.build_report()))
 
-    def hear(self, token: int) -> None:
+    def update_token(self, token: int) -> None:
         if token > self.token:
             self.token = token
             self.changed.set()
 
     async def report(self, sent: float) -> bool:
-        """True if the answer counted."""
-        body = msgspec.json.encode(self.describe())
+        """Sends a report at time ``sent`` and carries out the commands in the response; true if that was valid."""
+        body = msgspec.json.encode(self.build_report())
         session = self.session
         client = Client(self.cloud.controllers[self.node])
-        self.cloud.may_come_again(self.node, body)
+        self.cloud.maybe_duplicate_report(self.node, body)
         try:
-            if self.node not in self.reaches:
-                raise NoAnswer("behind a cut that refuses connections")
+            if self.node not in self.reachable_nodes:
+                raise NoAnswer("network partition: connection refused")
             status, answer = await client.request("POST", "/hello", body, timeout=timedelta(seconds=3))
         except NoAnswer:
             status, answer = 0, b"{}"
         finally:
             client.close()
-        await self.while_hung()
+        await self.wait_while_paused()
         clock = asyncio.get_running_loop().time
-        held_up = self.answers_late()
-        if self.deaf or held_up:  # it gives the answer up if it takes too long
-            await asyncio.sleep(min(held_up or GIVES_UP, max(sent + GIVES_UP - clock(), 0)))
-        if self.deaf or clock() - sent >= GIVES_UP:
+        delay_s = self.answer_delay()
+        if self.receives_nothing or delay_s:  # responses later than REPORT_TIMEOUT_S are ignored
+            await asyncio.sleep(min(delay_s or REPORT_TIMEOUT_S, max(sent + REPORT_TIMEOUT_S - clock(), 0)))
+        if self.receives_nothing or clock() - sent >= REPORT_TIMEOUT_S:
             status, answer = 0, b"{}"
-        got = msgspec.json.decode(answer)
-        if status == 200 and session == self.session and got.get("Baton", -1) >= self.token:
-            self.hear(got["Baton"])
-            for command in got["Orders"]:
+        response = msgspec.json.decode(answer)
+        if status == 200 and session == self.session and response.get("Baton", -1) >= self.token:
+            self.update_token(response["Baton"])
+            for command in response["Orders"]:
                 self.execute(command)
             return True
-        if status == 421 and got.get("Foreman") in self.cloud.controllers and got["Foreman"] != self.node:
-            self.node = got["Foreman"]
-            # Each step takes some time: two controllers that send it to each other, until their next heartbeat, would
-            # keep it busy for good at one moment of simulated time.
-            await asyncio.sleep(HOP)
+        if status == 421 and response.get("Foreman") in self.cloud.controllers and response["Foreman"] != self.node:
+            self.node = response["Foreman"]
+            # Two controllers can redirect the worker to each other until their next heartbeat. Without a delay,
+            # it would do this forever at one moment of simulated time.
+            await asyncio.sleep(REDIRECT_DELAY_S)
             self.changed.set()
         else:
             self.node = self.nodes[(self.nodes.index(self.node) + 1) % len(self.nodes)]
@@ -203,37 +211,40 @@
 
     def run(self, key: tuple[str, int]) -> None:
         self.tasks[key] = {"Piece": key[0], "Try": key[1], "Status": "running"}
-        if any(name == key[0] and attempt != key[1] and self.on(name, attempt) for name, attempt in self.tasks):
+        if any(name == key[0] and attempt != key[1] and self.is_active(name, attempt) for name, attempt in self.tasks):
             self.end(key, "busy")
-        elif sum(self.cloud.job_of(name)["Cpus"] for name, attempt in self.tasks if self.on(name, attempt)) > CPUS:
+        elif (
+            sum(self.cloud.job_of(name)["Cpus"] for name, attempt in self.tasks if self.is_active(name, attempt))
+            > CPUS_PER_WORKER
+        ):
             self.end(key, "full")
         else:
-            self.cloud.starts(self, key)
+            self.cloud.on_task_start(self, key)
 
-    def on(self, name: str, attempt: int) -> bool:
-        """Whether this attempt of the task is on this machine."""
+    def is_active(self, name: str, attempt: int) -> bool:
+        """Whether this attempt of the task is on this worker and has not ended."""
         return self.tasks[(name, attempt)]["Status"] != "ended"
 
     def end(self, key: tuple[str, int], cause: str) -> None:
         task = self.tasks.get(key)
         if task is not None and task["Status"] != "ended":
             task["Status"], task["Cause"] = "ended", cause
-            self.cloud.ends(self, key, cause)
+            self.cloud.on_task_end(self, key, cause)
             self.changed.set()
 
-    def end_life(self, key: tuple[str, int], life: int, cause: str) -> None:
-        """What was planned when the task started, unless the machine has lost all its tasks since."""
+    def end_if_current(self, key: tuple[str, int], task_generation: int, cause: str) -> None:
+        """Ends a task unless the worker has lost all its tasks since the task started; waits while it is paused."""
         loop = asyncio.get_running_loop()
-        if life == self.life and self.hung:
-            loop.call_at(self.hung_until + 0.01, self.end_life, key, life, cause)
-        elif life == self.life:
+        if task_generation == self.task_generation and self.paused:
+            loop.call_at(self.paused_until + 0.01, self.end_if_current, key, task_generation, cause)
+        elif task_generation == self.task_generation:
             self.end(key, cause)
 
-    def begin_again(self, *, anew: bool) -> None:
-        """It has ended and is back at once; ``anew``: its sessions and reports are numbered from 1 on."""
+    def restart(self, *, reset_numbers: bool) -> None:
+        """Restarts the worker at once, without its tasks; ``reset_numbers``: it counts sessions and reports from 1."""
         self.drop_tasks()
-        self.token, self.hung_until = 0, 0.0
-        self.answered = asyncio.get_running_loop().time()
-        if anew:
+        self.token, self.paused_until = 0, 0.0
+        self.last_answered = asyncio.get_running_loop().time()
+        if reset_numbers:
             self.session, self.seq = 1, 0
         self.changed.set()
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -6,8 +6,8 @@
 import pytest
 
 from gingerspar.transport.server import Answer
-from tests.standins.cloud import settle
-from tests.standins.cluster import NAMES, Cluster
+from tests.standins.cloud import wait_until
+from tests.standins.cluster import NODE_NAMES, Cluster
 from tests.standins.state import answer
 from tests.test_isolated_leader import running
 
@@ -20,7 +20,7 @@
 
 def _commanded(cluster: Cluster) -> bool:
     """Exactly one controller commands, and it is the leader on record."""
-    return cluster.commanding() == [cluster.leader()]
+    return cluster.dispatching_nodes() == [cluster.leader()]
 
 
 async def _the_one_that_raises_ends(*, late: bool, others: int, rounds: int) -> None:
@@ -38,11 +38,11 @@
 
         async def end(node: str, carry_out: Callable[[], Answer]) -> Answer:
             if len(ended) >= rounds:
-                cluster.state.on_raise = None
+                cluster.state.on_term_write = None
                 return carry_out()
             if not late:
                 carry_out()
-            with_it = [name for name in NAMES if name != node][:others]
+            with_it = [name for name in NODE_NAMES if name != node][:others]
             ended.append(asyncio.ensure_future(_end(node, with_it, carry_out)))
             await asyncio.sleep(5)
             return answer(503, {})
@@ -52,18 +52,18 @@
             if late:
                 carry_out()
 
-        cluster.state.on_raise = end
+        cluster.state.on_term_write = end
         await cluster.restart(leader, BACK)
-        assert await settle(lambda: len(ended) == rounds, 8), "nobody tried to raise the term"
+        assert await wait_until(lambda: len(ended) == rounds, 8), "nobody tried to raise the term"
         await asyncio.gather(*ended)
-        assert await settle(lambda: _commanded(cluster), 5), "nobody commands"
+        assert await wait_until(lambda: _commanded(cluster), 5), "nobody commands"
         await asyncio.sleep(2)
         assert _commanded(cluster)
         assert _term(cluster) - before <= 1 + rounds
         # What ran runs on: nobody was without a commander for a lease, nothing was started twice.
-        assert len(cluster.cloud.tasks()) == 3
+        assert len(cluster.cloud.active_tasks()) == 3
         assert sessions.items() <= {name: worker.session for name, worker in cluster.cloud.workers.items()}.items()
-        assert not cluster.cloud.broken
+        assert not cluster.cloud.violations
     finally:
         await cluster.stop()
 
--- a/tests/test_invariant_checks.py
+++ b/tests/test_invariant_checks.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.standins.cluster import Cluster, job
-from tests.standins.simulated_time import SimulatedClock, play
-from tests.standins.users import WAITED, Users
+from tests.standins.simulated_time import SimulatedClock, run_simulated
+from tests.standins.users import MAX_WAIT_S, Users
 
 NAME = "wk-000001"
 
@@ -25,7 +25,7 @@
     async def ask(method: str, path: str, body: Any = None, node: str | None = None) -> tuple[int, Any]:
         return answers.pop(0)
 
-    users.ask = ask  # type: ignore[method-assign]
+    users.request = ask  # type: ignore[method-assign]
     yield users
     cluster.cloud.stop()
 
@@ -35,35 +35,35 @@
 
 
 async def _forgets(users: Users) -> None:
-    await users.question(NAME)
+    await users.query_status(NAME)
 
 
 async def _refuses_a_repeat(users: Users) -> None:
-    await users.repeat({"Ref": NAME})
+    await users.resubmit({"Ref": NAME})
 
 
 async def _goes_back(users: Users) -> None:
-    users.asked_to_cancel.add(NAME)
-    await users.cancel_once(NAME)
-    await users.question(NAME)
+    users.cancel_requested.add(NAME)
+    await users.request_cancel(NAME)
+    await users.query_status(NAME)
 
 
 async def _goes_back_when_submitted_again(users: Users) -> None:
-    users.asked_to_cancel.add(NAME)
-    await users.cancel_once(NAME)
-    await users.repeat(users.specs[NAME])
+    users.cancel_requested.add(NAME)
+    await users.request_cancel(NAME)
+    await users.resubmit(users.specs[NAME])
 
 
 async def _cancels_by_itself(users: Users) -> None:
-    await users.question(NAME)
+    await users.query_status(NAME)
 
 
 async def _is_done_too_early(users: Users) -> None:
-    await users.question(NAME)
+    await users.query_status(NAME)
 
 
 async def _accepts_what_can_not_run(users: Users) -> None:
-    await users.send_odd()
+    await users.send_invalid_requests()
 
 
 @pytest.mark.parametrize(
@@ -85,22 +85,22 @@
     async def told() -> None:
         with _users(list(answers)) as users:
             await scene(users)
-            assert [line.partition(":")[0] for line in users.cluster.broken] == [rule]
+            assert [line.partition(":")[0] for line in users.cluster.violations] == [rule]
 
-    play(told())
+    run_simulated(told())
 
 
 def test_an_answer_to_a_question_that_was_asked_before_the_end_may_be_older() -> None:
     async def told() -> None:
         with _users([]) as users:
-            users.asked_to_cancel.add(NAME)
-            users.hear(NAME, {"Status": "aborted"}, None)
-            users.hear(NAME, {"Status": "running"}, None)
-            assert not users.cluster.broken
-            users.hear(NAME, {"Status": "running"}, "aborted")
-            assert users.cluster.broken
+            users.cancel_requested.add(NAME)
+            users.record_status(NAME, {"Status": "aborted"}, None)
+            users.record_status(NAME, {"Status": "running"}, None)
+            assert not users.cluster.violations
+            users.record_status(NAME, {"Status": "running"}, "aborted")
+            assert users.cluster.violations
 
-    play(told())
+    run_simulated(told())
 
 
 @pytest.mark.parametrize(("taken", "waits"), [(0, True), (1, True), (2, False)], ids=["empty", "room", "at its limit"])
@@ -114,15 +114,15 @@
             for number in range(taken):
                 cloud.workers[other].run((f"wk-000009/{number}", 1))
             users.accepted.add(NAME)
-            users.over = users.now()
+            users.failures_ended_at = users.now()
             watch = asyncio.ensure_future(users.watch_waiting())
-            await asyncio.sleep(WAITED - 5)
-            assert not users.cluster.broken
+            await asyncio.sleep(MAX_WAIT_S - 5)
+            assert not users.cluster.violations
             await asyncio.sleep(10)
             watch.cancel()
-            assert [line.partition(":")[0] for line in users.cluster.broken] == ["waits"] * waits
+            assert [line.partition(":")[0] for line in users.cluster.violations] == ["waits"] * waits
 
-    play(waiting())
+    run_simulated(waiting())
 
 
 @pytest.mark.parametrize(("after", "broken"), [(5.0, 0), (13.0, 1)])
@@ -131,10 +131,10 @@
         with _users([]) as users:
             cloud = users.cluster.cloud
             machine = cloud.workers[cloud.rent({"Build": "small", "Hall": "a", "Loaners": False})]
-            cloud.cancelled[NAME] = users.now()
+            cloud.cancelled_at[NAME] = users.now()
             await asyncio.sleep(after)
             machine.run((f"{NAME}/0", 1))
-            assert len(cloud.late_starts) == 1
-            assert len(cloud.broken) == broken
+            assert len(cloud.starts_after_cancel) == 1
+            assert len(cloud.violations) == broken
 
-    play(starting())
+    run_simulated(starting())
--- a/tests/test_isolated_leader.py
+++ b/tests/test_isolated_leader.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from gingerspar.coordination.membership.term import NO_BEAT
-from tests.standins.cloud import settle
-from tests.standins.cluster import NAMES, Cluster
+from tests.standins.cloud import wait_until
+from tests.standins.cluster import NODE_NAMES, Cluster
 
 
 def _settled(cluster: Cluster, node: str, sessions: dict[str, int]) -> bool:
@@ -15,8 +15,8 @@
 
 async def running(cluster: Cluster) -> tuple[str, dict[str, int]]:
     """The leader once a job runs, and the sessions of the workers that run it."""
-    assert await settle(lambda: cluster.accepts("n0", 1), 10), "no job was accepted"
-    assert await settle(lambda: len(cluster.cloud.tasks()) == 3, 15), "the job did not start"
+    assert await wait_until(lambda: cluster.submit_job("n0", 1), 10), "no job was accepted"
+    assert await wait_until(lambda: len(cluster.cloud.active_tasks()) == 3, 15), "the job did not start"
     leader = cluster.leader()
     assert leader is not None
     return leader, {name: worker.session for name, worker in cluster.cloud.workers.items() if worker.tasks}
@@ -28,27 +28,27 @@
     cluster.start()
     try:
         leader, sessions = await running(cluster)
-        cluster.state.refused, cluster.apart = {leader}, {leader}
+        cluster.state.refused_nodes, cluster.isolated = {leader}, {leader}
         if ends:  # and is back at once: it has heard of no term then
             await asyncio.sleep(0.3)
             await cluster.kill(leader)
             cluster.start_node(leader)
-        others = [name for name in NAMES if name != leader]
-        assert await settle(lambda: cluster.leader() in others, 8), "nobody took the term"
+        others = [name for name in NODE_NAMES if name != leader]
+        assert await wait_until(lambda: cluster.leader() in others, 8), "nobody took the term"
         successor = cluster.leader()
         assert successor is not None
-        assert await settle(lambda: _settled(cluster, successor, sessions), 8), "workers were kept"
+        assert await wait_until(lambda: _settled(cluster, successor, sessions), 8), "workers were kept"
 
         # Work goes on: a new job starts while the former leader still hears nobody.
-        assert await cluster.accepts(successor, 2)
-        assert await settle(lambda: len(cluster.cloud.tasks()) == 6, 10), "the second job did not start"
-        assert (await cluster.ask(leader, "GET", "/v1/jobs/wk-000001"))[0] == 503
-        cluster.state.refused, cluster.apart = set(), set()
+        assert await cluster.submit_job(successor, 2)
+        assert await wait_until(lambda: len(cluster.cloud.active_tasks()) == 6, 10), "the second job did not start"
+        assert (await cluster.request(leader, "GET", "/v1/jobs/wk-000001"))[0] == 503
+        cluster.state.refused_nodes, cluster.isolated = set(), set()
         await asyncio.sleep(3)
         assert cluster.leader() == successor, "the term went back"
         assert sessions.items() <= {name: w.session for name, w in cluster.cloud.workers.items()}.items()
-        assert len(cluster.cloud.tasks()) == 6
-        assert not cluster.cloud.broken
+        assert len(cluster.cloud.active_tasks()) == 6
+        assert not cluster.cloud.violations
     finally:
         await cluster.stop()
 
@@ -66,7 +66,7 @@
     cluster.start()
     try:
         leader, sessions = await running(cluster)
-        cluster.apart = {leader}
+        cluster.isolated = {leader}
         await asyncio.sleep(NO_BEAT.total_seconds() + 2)
         assert cluster.leader() == leader
         assert _settled(cluster, leader, sessions)
@@ -85,18 +85,18 @@
     try:
         leader, sessions = await running(cluster)
         deaf = next(iter(sessions))
-        cluster.cloud.workers[deaf].deaf = True
-        cluster.apart = {leader}
-        assert await settle(lambda: deaf not in cluster.cloud.workers, 25), "it was not given back"
+        cluster.cloud.workers[deaf].receives_nothing = True
+        cluster.isolated = {leader}
+        assert await wait_until(lambda: deaf not in cluster.cloud.workers, 25), "it was not given back"
         assert cluster.leader() == leader, "its visits moved the term"
-        assert await settle(lambda: _done(cluster, leader), 15), "its tasks were not placed again"
-        assert not cluster.cloud.broken
+        assert await wait_until(lambda: _done(cluster, leader), 15), "its tasks were not placed again"
+        assert not cluster.cloud.violations
     finally:
         await cluster.stop()
 
 
 async def _done(cluster: Cluster, node: str) -> bool:
-    status, body = await cluster.ask(node, "GET", "/v1/jobs/wk-000001")
+    status, body = await cluster.request(node, "GET", "/v1/jobs/wk-000001")
     return status == 200 and body["Status"] == "done"
 
 
--- a/tests/test_long_failures.py
+++ b/tests/test_long_failures.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from tests.standins.cloud import settle
-from tests.standins.cluster import NAMES, Cluster, job
-from tests.standins.simulated_time import SimulatedClock, play
+from tests.standins.cloud import wait_until
+from tests.standins.cluster import NODE_NAMES, Cluster, job
+from tests.standins.simulated_time import SimulatedClock, run_simulated
 from tests.standins.users import Users
-from tests.standins.worker import LEASE
+from tests.standins.worker import LEASE_S
 from tests.test_combined_failures import _cancelled, leader_and_others, on_machines, started
 
 
@@ -19,31 +19,31 @@
     try:
         busy = [worker for worker in cluster.cloud.workers.values() if worker.tasks]
         if who == "all controllers":
-            for name in NAMES:
+            for name in NODE_NAMES:
                 await cluster.kill(name)
-            await asyncio.sleep(LEASE + 3)
-            for name in NAMES:
+            await asyncio.sleep(LEASE_S + 3)
+            for name in NODE_NAMES:
                 cluster.start_node(name)
         else:  # machines that reach no controller, while commands reach them
             for worker in busy:
-                worker.reaches = set()
+                worker.reachable_nodes = set()
             leader, _ = leader_and_others(cluster)
             await cluster.restart(leader, 0.5)
-            await asyncio.sleep(3 * LEASE)
+            await asyncio.sleep(3 * LEASE_S)
             for worker in busy:
-                worker.reaches = set(NAMES)
-        assert await settle(lambda: _cancelled(cluster, 2), 20)
-        assert await settle(lambda: on_machines(cluster, 1) == 3, 30), "its work did not go on"
+                worker.reachable_nodes = set(NODE_NAMES)
+        assert await wait_until(lambda: _cancelled(cluster, 2), 20)
+        assert await wait_until(lambda: on_machines(cluster, 1) == 3, 30), "its work did not go on"
         await asyncio.sleep(10)
         assert (on_machines(cluster, 1), on_machines(cluster, 2)) == (3, 0)
-        assert not cluster.broken
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
 
 @pytest.mark.parametrize("who", ["all controllers", "machines that are mute"])
 def test_out_of_touch_for_longer_than_a_lease(who: str) -> None:
-    play(_out_of_touch(who))
+    run_simulated(_out_of_touch(who))
 
 
 async def _ten_changes(*, outage: bool) -> None:
@@ -58,17 +58,17 @@
             await asyncio.sleep(9)
             terms.add(cluster.state.keys["gs/term"][0]["term"])
         assert len(terms) >= (7 if outage else 10)
-        assert await settle(lambda: on_machines(cluster, 1) == on_machines(cluster, 2) == 3, 30)
+        assert await wait_until(lambda: on_machines(cluster, 1) == on_machines(cluster, 2) == 3, 30)
         if not outage:
-            assert set(cluster.cloud.started.values()) == {1}, "work was lost"
-        assert not cluster.broken
+            assert set(cluster.cloud.start_counts.values()) == {1}, "work was lost"
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
 
 @pytest.mark.parametrize("outage", [False, True], ids=["the state service is well", "in an outage"])
 def test_ten_changes_of_leader_in_two_minutes(outage: bool) -> None:
-    play(_ten_changes(outage=outage))
+    run_simulated(_ten_changes(outage=outage))
 
 
 async def _zone_cut_off(*, with_leader: bool) -> None:
@@ -78,33 +78,35 @@
     cluster.start()
     try:
         for number, hall in enumerate(["a", "a", "b", None, "b"], 1):
-            assert await settle(lambda number=number, hall=hall: cluster.accepts("n0", number, Hall=hall), 10)
-        assert await settle(lambda: len(cluster.cloud.tasks()) == 15, 30)
+            assert await wait_until(lambda number=number, hall=hall: cluster.submit_job("n0", number, Hall=hall), 10)
+        assert await wait_until(lambda: len(cluster.cloud.active_tasks()) == 15, 30)
         leader, others = leader_and_others(cluster)
         inside = leader if with_leader else others[0]
-        outside = [name for name in NAMES if name != inside]
-        cluster.state.refused, cluster.apart = {inside}, {inside}
+        outside = [name for name in NODE_NAMES if name != inside]
+        cluster.state.refused_nodes, cluster.isolated = {inside}, {inside}
         for worker in cluster.cloud.workers.values():
-            worker.reaches = {inside} if worker.zone == "a" else set(outside)
-            worker.unordered = worker.zone == "a"
+            worker.reachable_nodes = {inside} if worker.zone == "a" else set(outside)
+            worker.receives_no_commands = worker.zone == "a"
         await asyncio.sleep(0.5)
         for number in (1, 3, 4):
-            assert await settle(lambda number=number: _cancelled(cluster, number, outside[-1]), 20)
-        await asyncio.sleep(3 * LEASE)
-        cluster.state.refused, cluster.apart = set(), set()
+            assert await wait_until(lambda number=number: _cancelled(cluster, number, outside[-1]), 20)
+        await asyncio.sleep(3 * LEASE_S)
+        cluster.state.refused_nodes, cluster.isolated = set(), set()
         for worker in cluster.cloud.workers.values():
-            worker.reaches, worker.unordered = set(NAMES), False
-        assert await settle(lambda: on_machines(cluster, 2) == on_machines(cluster, 5) == 3, 40), "work did not go on"
+            worker.reachable_nodes, worker.receives_no_commands = set(NODE_NAMES), False
+        assert await wait_until(lambda: on_machines(cluster, 2) == on_machines(cluster, 5) == 3, 40), (
+            "work did not go on"
+        )
         await asyncio.sleep(10)
-        assert len(cluster.cloud.tasks()) == 6
-        assert not cluster.broken
+        assert len(cluster.cloud.active_tasks()) == 6
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
 
 @pytest.mark.parametrize("with_leader", [True, False], ids=["with the leader", "with another controller"])
 def test_a_zone_is_cut_off_for_longer_than_a_lease(with_leader: bool) -> None:
-    play(_zone_cut_off(with_leader=with_leader))
+    run_simulated(_zone_cut_off(with_leader=with_leader))
 
 
 async def _bound_to_a_zone() -> None:
@@ -125,24 +127,24 @@
                 GuessS=8.0,
             )
             users.specs[spec["Ref"]] = cluster.cloud.jobs[spec["Ref"]] = spec
-            users.lives.append(asyncio.ensure_future(users.live(spec, number * 0.5, None)))
+            users.lifecycles.append(asyncio.ensure_future(users.run_lifecycle(spec, number * 0.5, None)))
         for _ in range(6):
             await asyncio.sleep(4)
             for worker in list(cluster.cloud.workers.values()):
                 if worker.tasks and random.random() < 0.3:
-                    cluster.cloud.dies(worker.name)
+                    cluster.cloud.fail_worker(worker.name)
             if random.random() < 0.4:
                 leader, _ = leader_and_others(cluster)
                 await cluster.restart(leader, 0.3)
-        await asyncio.wait_for(asyncio.gather(*users.lives), 200)
-        assert set(users.told.values()) == {"done"}
-        assert not cluster.broken
+        await asyncio.wait_for(asyncio.gather(*users.lifecycles), 200)
+        assert set(users.final_status.values()) == {"done"}
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
 
 def test_jobs_bound_to_one_zone_lose_machines() -> None:
-    play(_bound_to_a_zone())
+    run_simulated(_bound_to_a_zone())
 
 
 async def _more_work_than_room() -> None:
@@ -150,7 +152,7 @@
     cluster = Cluster(4.0, 12, clock=SimulatedClock(), limits={"red": 32.0, "blue": 24.0})
     users = Users(cluster, Random(6))
     random = Random(9)
-    cluster.state.slow = lambda: random.uniform(0, 0.25)
+    cluster.state.response_delay = lambda: random.uniform(0, 0.25)
     cluster.start()
     try:
         for number in range(1, 41):
@@ -162,20 +164,20 @@
                 GuessS=random.uniform(2, 6),
             )
             users.specs[spec["Ref"]] = cluster.cloud.jobs[spec["Ref"]] = spec
-            users.lives.append(asyncio.ensure_future(users.live(spec, random.uniform(0, 20), None)))
+            users.lifecycles.append(asyncio.ensure_future(users.run_lifecycle(spec, random.uniform(0, 20), None)))
         for _ in range(3):
             await asyncio.sleep(8)
             leader, _ = leader_and_others(cluster)
             await cluster.restart(leader, 0.3)
-        users.over = users.now()
+        users.failures_ended_at = users.now()
         watch = asyncio.ensure_future(users.watch_waiting())
-        await asyncio.wait_for(asyncio.gather(*users.lives), 240)
+        await asyncio.wait_for(asyncio.gather(*users.lifecycles), 240)
         watch.cancel()
-        assert list(users.told.values()) == ["done"] * 40
-        assert not cluster.broken
+        assert list(users.final_status.values()) == ["done"] * 40
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
 
 def test_more_work_than_room_over_slow_links() -> None:
-    play(_more_work_than_room())
+    run_simulated(_more_work_than_room())
--- a/tests/test_more_combined_failures.py
+++ b/tests/test_more_combined_failures.py
@@ -11,11 +11,11 @@
 
 from gingerspar.protocol.messages import JobStatus, parse_job
 from gingerspar.storage import records
-from tests.standins.cloud import ARRAY, settle
-from tests.standins.cluster import NAMES, Cluster, job
-from tests.standins.simulated_time import SimulatedClock, play
+from tests.standins.cloud import ARRAY_JOB, wait_until
+from tests.standins.cluster import NODE_NAMES, Cluster, job
+from tests.standins.simulated_time import SimulatedClock, run_simulated
 from tests.standins.users import Users
-from tests.standins.worker import LEASE, Worker
+from tests.standins.worker import LEASE_S, Worker
 from tests.test_combined_failures import _cancelled, _done, _is, job_name, leader_and_others, on_machines, started
 
 # -- every team is at its limit, jobs are cancelled whose machines don't stop them, the leader changes ------------
@@ -57,42 +57,42 @@
     """
     cluster = Cluster(3600, 14, clock=SimulatedClock(), zones=("a", "b"), limits={"red": 24.0, "blue": 0.0})
     cluster.cloud.startup_s, cluster.idle_return_s = 60.0, 600.0  # so machines are kept
-    cluster.cloud.jobs[job_name(9)] = {**ARRAY, "Crew": "blue"}
+    cluster.cloud.jobs[job_name(9)] = {**ARRAY_JOB, "Crew": "blue"}
     _over_before(cluster, 2100)
     cluster.start()
 
     try:
         for number in (1, 2):
-            assert await settle(lambda number=number: cluster.accepts("n0", number, Hall="a"), 10)
-        assert await settle(lambda: cluster.accepts("n0", 9, Hall="b", Crew="blue"), 10)  # leaves room in zone b
-        assert await settle(lambda: len(cluster.cloud.tasks()) == 9, 30), "the limit is not used up"
-        assert await settle(lambda: _cancelled(cluster, 9), 10)
+            assert await wait_until(lambda number=number: cluster.submit_job("n0", number, Hall="a"), 10)
+        assert await wait_until(lambda: cluster.submit_job("n0", 9, Hall="b", Crew="blue"), 10)  # leaves room in zone b
+        assert await wait_until(lambda: len(cluster.cloud.active_tasks()) == 9, 30), "the limit is not used up"
+        assert await wait_until(lambda: _cancelled(cluster, 9), 10)
         await asyncio.sleep(2)
         leader, others = leader_and_others(cluster)
-        cluster.state.refused, cluster.apart = {leader}, {leader}
-        assert await settle(lambda: _cancelled(cluster, 1, others[0]), 5)
+        cluster.state.refused_nodes, cluster.isolated = {leader}, {leader}
+        assert await wait_until(lambda: _cancelled(cluster, 1, others[0]), 5)
         for name in others:
             await cluster.restart(name, 0.1)
-        assert await settle(lambda: cluster.leader() in others, 10), "nobody took the term"
+        assert await wait_until(lambda: cluster.leader() in others, 10), "nobody took the term"
         successor, _ = leader_and_others(cluster)
         cancelled = _with_tasks_of(cluster, 1)
         assert cancelled
         for worker in cancelled:
-            _as_it_comes_to(worker, successor, lambda worker: worker.hang(3.0))
-        assert await settle(lambda: cluster.accepts(successor, 3, Hall="b"), 10)
+            _as_it_comes_to(worker, successor, lambda worker: worker.pause(3.0))
+        assert await wait_until(lambda: cluster.submit_job(successor, 3, Hall="b"), 10)
         await asyncio.sleep(8)
-        cluster.state.refused, cluster.apart = set(), set()
+        cluster.state.refused_nodes, cluster.isolated = set(), set()
         await asyncio.sleep(20)
         assert on_machines(cluster, 1) == 0
-        assert len(cluster.cloud.tasks()) == 6, "the next job did not start"
-        assert not cluster.broken
+        assert len(cluster.cloud.active_tasks()) == 6, "the next job did not start"
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
 
 def test_a_team_at_its_limit_while_machines_with_cancelled_tasks_hang() -> None:
     """What a cancelled job takes counts until it has ended, however many jobs are over and in whatever order."""
-    play(_at_the_limit())
+    run_simulated(_at_the_limit())
 
 
 # -- a cancellation's answer is lost, or it is confirmed by another controller, while the leader is refused --------
@@ -104,32 +104,32 @@
     clock = asyncio.get_running_loop().time
     try:
         leader, others = leader_and_others(cluster)
-        cluster.state.refused = {leader}
+        cluster.state.refused_nodes = {leader}
         for worker in cluster.cloud.workers.values():
-            worker.reaches = {leader}
-        cluster.state.unanswered = lambda writes: any(write["Data"].get("status") == "aborted" for write in writes)
-        asking = asyncio.ensure_future(cluster.ask(others[0], "POST", f"/v1/jobs/{job_name(1)}/abort", b""))
+            worker.reachable_nodes = {leader}
+        cluster.state.drops_response = lambda writes: any(write["Data"].get("status") == "aborted" for write in writes)
+        asking = asyncio.ensure_future(cluster.request(others[0], "POST", f"/v1/jobs/{job_name(1)}/abort", b""))
         await asyncio.sleep(0.2)
-        cluster.state.unanswered = lambda writes: False
+        cluster.state.drops_response = lambda writes: False
         assert cluster.state.keys["gs/j/wk-000001"][0]["status"] == "aborted"
         if ends:  # who has written it ends before its answer; nobody takes the term, as the leader still commands
             await cluster.kill(others[0])
             asking.cancel()
-            status, body = await cluster.ask(others[1], "POST", f"/v1/jobs/{job_name(1)}/abort", b"")
+            status, body = await cluster.request(others[1], "POST", f"/v1/jobs/{job_name(1)}/abort", b"")
         else:
             status, body = await asking
         assert (status, body["Status"]) == (200, "aborted")
         confirmed = clock()
-        assert await settle(lambda: on_machines(cluster, 1) == 0, 30)
+        assert await wait_until(lambda: on_machines(cluster, 1) == 0, 30)
         assert clock() - confirmed < 0.5, "the leader was not told"
-        assert not cluster.broken
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
 
 @pytest.mark.parametrize("ends", [False, True], ids=["the answer is lost", "its writer ends"])
 def test_whoever_confirms_a_cancellation_tells_the_leader(ends: bool) -> None:
-    play(_confirmed_elsewhere(ends=ends))
+    run_simulated(_confirmed_elsewhere(ends=ends))
 
 
 # -- all controllers are asked within milliseconds ---------------------------------------------------------------
@@ -139,36 +139,36 @@
     """Everybody looks at each piece of news, at all controllers, while half of the answers to transactions are lost."""
     cluster = Cluster(3.0, 12, clock=SimulatedClock())
     users = Users(cluster, Random(trouble))
-    users.looks = True
+    users.status_checks = True
     coin = Random(7)
     if trouble == "answers lost":
-        cluster.state.unanswered = lambda writes: coin.random() < 0.5
+        cluster.state.drops_response = lambda writes: coin.random() < 0.5
     elif trouble == "late":
-        cluster.state.late = lambda writes: coin.uniform(2, 6) if coin.random() < 0.3 else 0.0
+        cluster.state.commit_delay = lambda writes: coin.uniform(2, 6) if coin.random() < 0.3 else 0.0
     elif trouble == "slow":
-        cluster.state.slow = lambda: coin.uniform(0, 0.6)
-    cluster.cloud.all_done = lambda name: users.lives.append(asyncio.ensure_future(users.cancel(name, 0.0)))
+        cluster.state.response_delay = lambda: coin.uniform(0, 0.6)
+    cluster.cloud.on_job_done = lambda name: users.lifecycles.append(asyncio.ensure_future(users.cancel(name, 0.0)))
     cluster.start()
     try:
-        users.begin(12, 12.0, cancelled=0.5)
+        users.start(12, 12.0, cancel_share=0.5)
         if trouble == "ends":
             for turn in range(10):
                 await asyncio.sleep(1.5)
-                await cluster.restart(NAMES[turn % 3], 0.3)
+                await cluster.restart(NODE_NAMES[turn % 3], 0.3)
         end = users.now() + 150
-        while users.now() < end and not all(life.done() for life in users.lives):
-            await asyncio.wait(list(users.lives), timeout=end - users.now())
-        assert users.accepted == users.told.keys() == users.specs.keys()
-        assert not cluster.broken
+        while users.now() < end and not all(life.done() for life in users.lifecycles):
+            await asyncio.wait(list(users.lifecycles), timeout=end - users.now())
+        assert users.accepted == users.final_status.keys() == users.specs.keys()
+        assert not cluster.violations
     finally:
-        for life in users.lives:
+        for life in users.lifecycles:
             life.cancel()
         await cluster.stop()
 
 
 @pytest.mark.parametrize("trouble", ["none", "answers lost", "late", "slow", "ends"])
 def test_nobody_is_answered_anything_older_at_any_controller(trouble: str) -> None:
-    play(_close_looks(trouble))
+    run_simulated(_close_looks(trouble))
 
 
 # -- new machines get work at once, writes lag, the leader ends ----------------------------------------------------
@@ -183,11 +183,11 @@
     async def end(leader: str) -> None:
         """Its machines go on, and for less than a lease the next leader neither hears nor reaches them."""
         for worker in cluster.cloud.workers.values():
-            worker.reaches, worker.unordered = set(), True
+            worker.reachable_nodes, worker.receives_no_commands = set(), True
         await cluster.restart(leader, 0.3)
-        await asyncio.sleep(LEASE - 1.2)
+        await asyncio.sleep(LEASE_S - 1.2)
         for worker in cluster.cloud.workers.values():
-            worker.reaches, worker.unordered = set(NAMES), False
+            worker.reachable_nodes, worker.receives_no_commands = set(NODE_NAMES), False
 
     def end_the_leader(writes: list[dict[str, Any]]) -> bool:
         nonlocal seen
@@ -199,21 +199,21 @@
         return seen % 2 == 1
 
     if lost:
-        cluster.state.unanswered = end_the_leader
+        cluster.state.drops_response = end_the_leader
     else:
-        cluster.state.late = lambda writes: 2.0 + seen * 1.7 % 9 if end_the_leader(writes) else 0.0
+        cluster.state.commit_delay = lambda writes: 2.0 + seen * 1.7 % 9 if end_the_leader(writes) else 0.0
     cluster.start()
     try:
         for number in range(1, 7):
-            assert await settle(lambda number=number: cluster.accepts(NAMES[number % 3], number), 30)
+            assert await wait_until(lambda number=number: cluster.submit_job(NODE_NAMES[number % 3], number), 30)
             await asyncio.sleep(2)
             if kind == "term" and number % 2:  # else the first leader would stay
                 ends.append(asyncio.ensure_future(end(str(cluster.leader()))))
         for number in range(1, 7):
-            assert await settle(lambda number=number: _done(cluster, number), 60), f"job {number} is not done"
+            assert await wait_until(lambda number=number: _done(cluster, number), 60), f"job {number} is not done"
         assert ends, "the leader did not end"
         await asyncio.sleep(12)  # the last of what is late is carried out
-        assert not cluster.broken
+        assert not cluster.violations
     finally:
         await asyncio.gather(*ends)
         await cluster.stop()
@@ -222,7 +222,7 @@
 @pytest.mark.parametrize("lost", [True, False], ids=["its answer is lost", "it is carried out late"])
 @pytest.mark.parametrize("kind", ["roster", "claim", "term", "result"])
 def test_new_machines_get_work_while_writes_lag_and_the_leader_ends(kind: str, lost: bool) -> None:
-    play(_up_at_once(kind, lost=lost))
+    run_simulated(_up_at_once(kind, lost=lost))
 
 
 # -- old reports reach every controller just as a new leader begins ----------------------------------------------
@@ -231,37 +231,37 @@
 async def _old_reports(befalls: str) -> None:
     """Of machines that go on, that have begun anew, that nobody reaches, and that were given back."""
     cluster = await started(12, jobs=2, spare=True)
-    cluster.cloud.keeps = lambda: True
+    cluster.cloud.should_store_report = lambda: True
     try:
         await asyncio.sleep(3)
         for _ in range(3):
             leader, others = leader_and_others(cluster)
             for worker in list(cluster.cloud.workers.values()):
                 if befalls == "begins anew" and worker.tasks:
-                    worker.begin_again(anew=True)
+                    worker.restart(reset_numbers=True)
                 elif befalls == "a lease is over" and worker.tasks:
-                    worker.hang(LEASE + 1)
+                    worker.pause(LEASE_S + 1)
                 elif befalls == "dies" and worker.tasks:
-                    cluster.cloud.dies(worker.name)
+                    cluster.cloud.fail_worker(worker.name)
             if befalls == "only told directly":
-                cluster.state.refused, cluster.apart = {leader}, {leader}
-                assert await settle(lambda others=others: cluster.leader() in others, 20)
+                cluster.state.refused_nodes, cluster.isolated = {leader}, {leader}
+                assert await wait_until(lambda others=others: cluster.leader() in others, 20)
                 await asyncio.sleep(4)
-                cluster.state.refused, cluster.apart = set(), set()
+                cluster.state.refused_nodes, cluster.isolated = set(), set()
             else:
                 await cluster.restart(leader, 0.3)
-            assert await settle(lambda: len(cluster.cloud.tasks()) == 6, 30), "its work is held back"
+            assert await wait_until(lambda: len(cluster.cloud.active_tasks()) == 6, 30), "its work is held back"
             await asyncio.sleep(3)
         await asyncio.sleep(15)
-        assert len(cluster.cloud.tasks()) == 6
-        assert not cluster.broken
+        assert len(cluster.cloud.active_tasks()) == 6
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
 
 @pytest.mark.parametrize("befalls", ["nothing", "begins anew", "a lease is over", "dies", "only told directly"])
 def test_old_reports_reach_every_controller_as_a_new_leader_begins(befalls: str) -> None:
-    play(_old_reports(befalls))
+    run_simulated(_old_reports(befalls))
 
 
 # -- a job is cancelled as its claim changes hands ---------------------------------------------------------------
@@ -281,15 +281,15 @@
             name = write["Put"].rpartition("/")[2]
             if write["Put"].startswith("gs/j/") and name in users.specs and name not in seen:
                 seen.add(name)
-                users.lives.append(asyncio.ensure_future(users.cancel(name, 0.02 * (len(seen) % 3))))
+                users.lifecycles.append(asyncio.ensure_future(users.cancel(name, 0.02 * (len(seen) % 3))))
         return lost
 
     try:
         cancelling = kind == "claim"
-        cluster.state.unanswered = cancel
+        cluster.state.drops_response = cancel
         for number in range(1, 7):
             users.specs[job_name(number)] = job(number)
-            assert await settle(lambda number=number: cluster.accepts("n0", number), 10)
+            assert await wait_until(lambda number=number: cluster.submit_job("n0", number), 10)
             users.accepted.add(job_name(number))
             await asyncio.sleep(0.3)
         cancelling = True
@@ -299,12 +299,12 @@
         assert seen, "there was none of the kind"
         cluster.start_node("n0")
         await asyncio.sleep(2)
-        told = await asyncio.wait_for(asyncio.gather(*users.lives), 60)
+        told = await asyncio.wait_for(asyncio.gather(*users.lifecycles), 60)
         assert told
-        assert {users.told.get(name) for name in seen} == {"aborted"}
+        assert {users.final_status.get(name) for name in seen} == {"aborted"}
         assert all(on_machines(cluster, int(name[3:])) == 0 for name in seen)
-        assert not cluster.cloud.late_starts
-        assert not cluster.broken
+        assert not cluster.cloud.starts_after_cancel
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
@@ -312,7 +312,7 @@
 @pytest.mark.parametrize("lost", [True, False], ids=["its answer is lost", "answered"])
 @pytest.mark.parametrize("kind", ["claim", "sweep or release"])
 def test_cancelled_as_its_claim_changes_hands(kind: str, lost: bool) -> None:
-    play(_cancelled_between_hands(kind, lost=lost))
+    run_simulated(_cancelled_between_hands(kind, lost=lost))
 
 
 # -- a job is cancelled whose machines hang ------------------------------------------------------------------------
@@ -321,26 +321,26 @@
 async def _cancelled_while_hung(hung_for: float, *, changes: bool) -> None:
     cluster = await started(9, jobs=2, spare=True)
     try:
-        assert await settle(lambda: _cancelled(cluster, 1), 10)
+        assert await wait_until(lambda: _cancelled(cluster, 1), 10)
         for worker in _with_tasks_of(cluster, 1):
-            worker.hang(hung_for)
+            worker.pause(hung_for)
         if changes:
             leader, _ = leader_and_others(cluster)
             await cluster.restart(leader, 0.3)
         await asyncio.sleep(hung_for + 12)
         assert on_machines(cluster, 1) == 0
         assert on_machines(cluster, 2) == 3, "the other job does not run"
-        assert not cluster.cloud.late_starts
-        assert not cluster.broken
+        assert not cluster.cloud.starts_after_cancel
+        assert not cluster.violations
     finally:
         await cluster.stop()
 
 
 @pytest.mark.parametrize("changes", [False, True], ids=["the leader stays", "the leader ends"])
-@pytest.mark.parametrize("hung_for", [2.0, LEASE - 0.3, LEASE + 2, 13.0])
+@pytest.mark.parametrize("hung_for", [2.0, LEASE_S - 0.3, LEASE_S + 2, 13.0])
 def test_cancelled_while_its_machines_hang(hung_for: float, changes: bool) -> None:
     """For less and for more than a lease, and than cancel_s: when a machine goes on, its lease is over or it obeys."""
-    play(_cancelled_while_hung(hung_for, changes=changes))
+    run_simulated(_cancelled_while_hung(hung_for, changes=changes))
 
 
 # -- one-task jobs, four a second for minutes, a quarter of them cancelled -----------------------------------------
@@ -363,20 +363,20 @@
         await asyncio.sleep(number / 4)
         began = users.now()
         while name not in users.accepted:
-            status, body = await users.ask("POST", "/v1/jobs", users.specs[name])
+            status, body = await users.request("POST", "/v1/jobs", users.specs[name])
             if status in (200, 201):
                 users.accepted.add(name)
-                users.hear(name, body, None)
+                users.record_status(name, body, None)
             else:
                 await asyncio.sleep(1)
         took.append(users.now() - began)
         if number % 4 == 0:
             await asyncio.sleep(random.uniform(0, 3))
-            while not await users.cancel_once(name):
+            while not await users.request_cancel(name):
                 await asyncio.sleep(1)
-        while name not in users.told:
+        while name not in users.final_status:
             await asyncio.sleep(2)
-            await users.question(name)
+            await users.query_status(name)
 
     cluster.start()
     lives = [asyncio.ensure_future(live(number)) for number in range(1, 4 * seconds)]
@@ -390,9 +390,9 @@
             life.result()
         took.sort()
         assert took[len(took) * 95 // 100] < 1.0, "submissions wait"
-        assert Counter(users.told.values())["done"] >= len(lives) * 0.7
-        assert not cluster.cloud.late_starts
-        assert not cluster.broken
+        assert Counter(users.final_status.values())["done"] >= len(lives) * 0.7
+        assert not cluster.cloud.starts_after_cancel
+        assert not cluster.violations
     finally:
         for life in lives:
             life.cancel()
@@ -400,4 +400,4 @@
 
 
 def test_one_task_jobs_four_a_second_for_minutes() -> None:
-    play(_four_a_second())
+    run_simulated(_four_a_second())
--- a/tests/test_random_failures.py
+++ b/tests/test_random_failures.py
@@ -13,7 +13,7 @@
 
 from tests.standins.cluster import Cluster
 from tests.standins.failures import RandomFailures
-from tests.standins.simulated_time import SimulatedClock, play
+from tests.standins.simulated_time import SimulatedClock, run_simulated
 from tests.standins.users import Users
 
 JOBS = 20
@@ -37,22 +37,26 @@
     cluster.start()
     users = Users(cluster, random)
     troubles = RandomFailures(cluster, users, random, more=more)
-    watches = [asyncio.ensure_future(users.probe()), asyncio.ensure_future(users.watch_waiting())]
+    watches = [asyncio.ensure_future(users.query_unknown_jobs()), asyncio.ensure_future(users.watch_waiting())]
     try:
-        users.begin(MORE_JOBS if more else JOBS, SUBMITTED_WITHIN, cancelled=0.3)
-        await troubles.play()
-        users.over = users.now()
-        end = users.over + ALL_OVER
-        while users.now() < end and not all(life.done() for life in users.lives):  # more may begin as others end
-            await asyncio.wait(list(users.lives), timeout=end - users.now())
-        for life in users.lives:
+        users.start(MORE_JOBS if more else JOBS, SUBMITTED_WITHIN, cancel_share=0.3)
+        await troubles.run()
+        users.failures_ended_at = users.now()
+        end = users.failures_ended_at + ALL_OVER
+        while users.now() < end and not all(life.done() for life in users.lifecycles):  # more may begin as others end
+            await asyncio.wait(list(users.lifecycles), timeout=end - users.now())
+        for life in users.lifecycles:
             if life.done() and not life.cancelled():
                 life.result()
             life.cancel()
-        missing = sorted(users.accepted - users.told.keys())
-        broken = cluster.broken + [f"not over: {name}" for name in missing]
-        drawn = [f"zones {len(zones)}, cancel_s {cancel_s:g}", *troubles.said, f"no answer for {users.at_last:.1f} s"]
-        drawn.append(f"starts after a confirmed cancellation: {len(cluster.cloud.late_starts)}")
+        missing = sorted(users.accepted - users.final_status.keys())
+        broken = cluster.violations + [f"not over: {name}" for name in missing]
+        drawn = [
+            f"zones {len(zones)}, cancel_s {cancel_s:g}",
+            *troubles.descriptions,
+            f"no answer for {users.longest_silence_s:.1f} s",
+        ]
+        drawn.append(f"starts after a confirmed cancellation: {len(cluster.cloud.starts_after_cancel)}")
         return drawn, broken
     finally:
         for watch in watches:
@@ -66,7 +70,7 @@
         drawn, broken = await day(seed)
         assert not broken, drawn
 
-    play(scene())
+    run_simulated(scene())
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
@@ -75,7 +79,7 @@
         drawn, broken = await day(seed, more=True)
         assert not broken, drawn
 
-    play(scene())
+    run_simulated(scene())
 
 
 def main(first: int, last: int, *, more: bool) -> None:
@@ -85,7 +89,7 @@
             drawn, broken = await day(seed, more=more)
             print(seed, "; ".join(drawn), "BROKEN " + "; ".join(broken[:6]) if broken else "", flush=True)
 
-        play(scene())
+        run_simulated(scene())
 
 
 if __name__ == "__main__":
--- a/tests/test_status_after_outage.py
+++ b/tests/test_status_after_outage.py
@@ -8,7 +8,7 @@
 from gingerspar.protocol.messages import JobStatus, parse_job
 from gingerspar.storage.records import JobRecord, job_key, pack
 from gingerspar.transport.client import Client, NoAnswer
-from tests.standins.cluster import NAMES, Cluster, job
+from tests.standins.cluster import NODE_NAMES, Cluster, job
 
 JOBS = 1000
 PATIENCE = timedelta(seconds=2)  # as users have
@@ -32,7 +32,7 @@
 async def _ask(cluster: Cluster, number: int) -> int:
     """How many questions it took until one was answered; each goes to the next controller."""
     for tries in range(TRIES):
-        client = Client(cluster.http[NAMES[(number + tries) % len(NAMES)]])
+        client = Client(cluster.http[NODE_NAMES[(number + tries) % len(NODE_NAMES)]])
         try:
             status, body = await client.request("GET", f"/v1/jobs/wk-{number:06d}", timeout=PATIENCE)
         except NoAnswer:
@@ -55,7 +55,7 @@
         # The state service goes out; meanwhile all controllers end and are back with nothing in memory.
         cluster.state.down = True
         await asyncio.sleep(0.5)
-        for name in NAMES:
+        for name in NODE_NAMES:
             await cluster.kill(name)
             cluster.start_node(name)
         await asyncio.sleep(2)
