--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""The write budget: by urgency, within the rate, and shared by demand."""
+"""The write budget: order by urgency, limits of rate and burst, and division between nodes by demand."""
 
 import asyncio
 from datetime import timedelta
@@ -16,7 +16,7 @@
     return StateClient("127.0.0.1:1", clock, rps=100, write_rps=25, txn_ops=16, value_bytes=8192, nodes=5)
 
 
-async def _taken_after_the_burst_shrank() -> bool:
+async def _acquires_after_burst_reduction() -> bool:
     clock = Clock()
     budget = Budget(clock, 100, 16)
     await budget.acquire(16, Urgency.CLAIM)
@@ -27,32 +27,32 @@
     return waiting.done()
 
 
-def test_a_smaller_burst_does_not_block_what_waits_already() -> None:
-    """kerlann-fonts-grown steady: a roster write waited for ever, and nothing ran."""
-    assert asyncio.run(_taken_after_the_burst_shrank())
+def test_reduced_burst_does_not_block_earlier_waiters() -> None:
+    """kerlann-fonts-grown steady: a roster write larger than the new burst waited forever, and no task ran."""
+    assert asyncio.run(_acquires_after_burst_reduction())
 
 
-async def _urgent_first() -> list[str]:
+async def _grant_order() -> list[str]:
     order: list[str] = []
     budget = Budget(Clock(), 200, 4)
 
-    async def take(name: str, urgency: Urgency) -> None:
+    async def acquire(name: str, urgency: Urgency) -> None:
         await budget.acquire(4, urgency)
         order.append(name)
 
     await budget.acquire(4, Urgency.RESULT)
     await asyncio.gather(
-        take("sweep", Urgency.BACKGROUND), take("result", Urgency.RESULT), take("cancel", Urgency.USER)
+        acquire("sweep", Urgency.BACKGROUND), acquire("result", Urgency.RESULT), acquire("cancel", Urgency.USER)
     )
     return order
 
 
-def test_the_most_urgent_goes_first() -> None:
-    assert asyncio.run(_urgent_first()) == ["cancel", "result", "sweep"]
+def test_waiters_are_served_by_urgency() -> None:
+    assert asyncio.run(_grant_order()) == ["cancel", "result", "sweep"]
 
 
 class _Clock(Clock):
-    """Moved by hand."""
+    """A clock that only the test moves."""
 
     at = timedelta(0)
 
@@ -60,28 +60,31 @@
         return self.at
 
 
-async def _ahead() -> list[bool]:
-    """Who need not wait at 10 units a second: results use all that is saved up, then users come, then results again."""
+async def _granted_at_once() -> list[bool]:
+    """Which requests are granted without waiting, at 10 units per second.
+
+    Results use up the burst, then users' requests arrive, and after 0.5 s another result.
+    """
     clock = _Clock()
     budget = Budget(clock, 10, 10)
-    asked = [Urgency.RESULT] * 10 + [Urgency.USER] * 6
-    takes = [asyncio.ensure_future(budget.acquire(1, urgency)) for urgency in asked]
+    urgencies = [Urgency.RESULT] * 10 + [Urgency.USER] * 6
+    requests = [asyncio.ensure_future(budget.acquire(1, urgency)) for urgency in urgencies]
     await asyncio.sleep(0)
-    at_once = [take.done() for take in takes]
-    clock.at += timedelta(seconds=0.5)  # what users had ahead is paid back first
-    late = asyncio.ensure_future(budget.acquire(1, Urgency.RESULT))
+    granted = [request.done() for request in requests]
+    clock.at += timedelta(seconds=0.5)  # refills what users' requests have overdrawn, before results are granted
+    late_result = asyncio.ensure_future(budget.acquire(1, Urgency.RESULT))
     await asyncio.sleep(0.3)
-    at_once += [takes[-1].done(), late.done()]
-    for take in (*takes, late):
-        take.cancel()
-    return at_once
+    granted += [requests[-1].done(), late_result.done()]
+    for request in (*requests, late_result):
+        request.cancel()
+    return granted
 
 
-def test_a_user_does_not_wait_for_what_results_have_taken() -> None:
-    assert asyncio.run(_ahead()) == [True] * 10 + [True] * 5 + [False] + [True, False]
+def test_users_may_overdraw_a_budget_used_up_by_results() -> None:
+    assert asyncio.run(_granted_at_once()) == [True] * 10 + [True] * 5 + [False] + [True, False]
 
 
-def test_the_write_limit_is_split_by_demand() -> None:
+def test_write_limit_is_divided_by_demand() -> None:
     busy, idle = _client(Clock()), _client(Clock())
     idle.share_writes([20.0, 0.0, 0.0, 0.0])
     assert idle.most_puts <= 3
@@ -90,8 +93,8 @@
     assert busy.most_puts >= 12
 
 
-def test_what_nodes_without_the_state_service_cannot_use_goes_to_the_others() -> None:
-    """kerlann-fonts-fleet loss: one node of five had the state service and a fifth of its limits."""
+def test_limits_of_nodes_without_the_state_service_go_to_the_others() -> None:
+    """kerlann-fonts-fleet loss: one node of five had the state service, but only a fifth of its limits."""
 
     def rates(state_age: float) -> tuple[float, float]:
         controller = Controller(parse_settings(Cluster().settings("n0")), OperatorSettings())
@@ -100,6 +103,6 @@
         controller._share_writes()
         return round(controller._client.write_rate), round(controller._client._requests.rate)
 
-    # The stand-in's limits are 100 changes and 200 requests a second, 45% of these for other than the view's reads.
+    # The stand-in allows 100 changes and 200 requests per second; 45% of the requests are not for the view's reads.
     assert rates(state_age=0.1) == (17, 30)
     assert rates(state_age=9.0) == (95, 90)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Which machines are given back."""
+"""Which machines are returned to the cloud."""
 
 from datetime import timedelta
 
@@ -7,32 +7,35 @@
 from tests.tracing import Player
 
 OFFER: Offer = ("big", "a", False)
-SPAN = timedelta(seconds=7)
-LONG = timedelta(seconds=120)
+WINDOW = timedelta(seconds=7)
+MAX_IDLE = timedelta(seconds=120)
 
 
 def _at(seconds: float) -> timedelta:
     return timedelta(seconds=seconds)
 
 
-def test_what_was_never_in_use_at_once_is_spare() -> None:
+def test_minimum_idle_count_over_the_window_is_surplus() -> None:
     idle_history = fleet.IdleHistory()
-    assert idle_history.min_idle(OFFER, 2, _at(0), SPAN) == 0  # not seen for long enough
-    assert idle_history.min_idle(OFFER, 1, _at(4), SPAN) == 0
-    assert idle_history.min_idle(OFFER, 3, _at(8), SPAN) == 1
+    assert idle_history.min_idle(OFFER, 2, _at(0), WINDOW) == 0  # the history is shorter than the window
+    assert idle_history.min_idle(OFFER, 1, _at(4), WINDOW) == 0
+    assert idle_history.min_idle(OFFER, 3, _at(8), WINDOW) == 1
     idle_history.machines_returned(OFFER, 1)
-    assert idle_history.min_idle(OFFER, 2, _at(9), SPAN) == 0
+    assert idle_history.min_idle(OFFER, 2, _at(9), WINDOW) == 0
 
 
-def test_once_all_were_in_use_counting_begins_anew() -> None:
+def test_idle_history_restarts_once_no_machine_is_idle() -> None:
     idle_history = fleet.IdleHistory()
-    idle_history.min_idle(OFFER, 2, _at(0), SPAN)
+    idle_history.min_idle(OFFER, 2, _at(0), WINDOW)
     idle_history.reset_others([])
-    assert idle_history.min_idle(OFFER, 2, _at(8), SPAN) == 0
+    assert idle_history.min_idle(OFFER, 2, _at(8), WINDOW) == 0
 
 
-def test_machines_that_take_turns_are_not_all_kept() -> None:
-    """vatuloa-grep-grown steady: over a hundred idle machines, each of them used now and then."""
+def test_machines_idle_in_turn_are_returned() -> None:
+    """Machines that are idle in turn are surplus although none of them is idle for long.
+
+    vatuloa-grep-grown steady: over a hundred machines were idle, each of them used now and then.
+    """
     player = Player()
     for line in (
         "machine m1",
@@ -46,11 +49,11 @@
     idle_history = fleet.IdleHistory()
     for second in range(2, 11):
         player.play(f"at {second} report m2 seq={second + 2}")
-        assert fleet.plan_returns(player.dispatcher.cluster_state, idle_history, player.now, LONG) == []
+        assert fleet.plan_returns(player.dispatcher.cluster_state, idle_history, player.now, MAX_IDLE) == []
     player.play("at 13 report m1 seq=4 tasks=wk-1/0@1:ended:done")
-    back = fleet.plan_returns(player.dispatcher.cluster_state, idle_history, player.now, LONG)
-    assert [machine.name for machine in back] == ["m2"]
+    returns = fleet.plan_returns(player.dispatcher.cluster_state, idle_history, player.now, MAX_IDLE)
+    assert [machine.name for machine in returns] == ["m2"]
     player.play("at 14 report m1 seq=5")
     assert (
-        fleet.plan_returns(player.dispatcher.cluster_state, idle_history, player.now, LONG) == []
-    )  # m1 has its own time
+        fleet.plan_returns(player.dispatcher.cluster_state, idle_history, player.now, MAX_IDLE) == []
+    )  # m1's own idle time counts
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,4 +1,4 @@
-"""The watched view while the state service answers some requests late or never."""
+"""The watched view: late and lost reads, undecodable records, and what it remembers of ended jobs."""
 
 import asyncio
 from datetime import timedelta
@@ -15,15 +15,15 @@
 
 
 class _Client:
-    """Answers each read as told: after so many seconds, or 503 at once."""
+    """Answers each read after the given number of seconds, or with 503 at once where None is given."""
 
     def __init__(self, *answers: float | None) -> None:
         self.answers = list(answers)
-        self.asked = 0
+        self.read_count = 0
 
     async def changes(self, prefix: str, since: int, timeout: timedelta) -> Changes:
-        answer = self.answers[self.asked]
-        self.asked += 1
+        answer = self.answers[self.read_count]
+        self.read_count += 1
         if answer is None:
             raise Unavailable("503")
         await asyncio.sleep(answer)
@@ -31,38 +31,39 @@
 
 
 async def _read(client: _Client) -> tuple[float, float, int]:
-    """When the read that counted was sent and when it was there, in seconds, and how many were sent."""
+    """When the read that brought the view up to date was sent and applied, in seconds, and how many reads were sent."""
     clock = Clock()
     service: Any = client
     view = WatchedView(service, clock, rps=100, nodes=3)
     view.phase = Phase.FOLLOWING
-    begun = clock.now()
-    assert await view._read(begun)
+    started_at = clock.now()
+    assert await view._read(started_at)
     assert view.revision == 7
-    return (view.read_sent - begun).total_seconds(), (clock.now() - begun).total_seconds(), client.asked
+    return (view.read_sent - started_at).total_seconds(), (clock.now() - started_at).total_seconds(), client.read_count
 
 
-def test_a_late_read_is_sent_again() -> None:
-    """inc-8b9d: reads that took over a second made the leader's view too old, and it gave up its term."""
-    sent, there, asked = asyncio.run(_read(_Client(30.0, 0.01)))
-    assert asked == 2
-    assert sent == pytest.approx(READ_RETRY_AFTER.total_seconds(), abs=0.1)  # not the time of the first one
-    assert there < 1.0
+def test_late_read_is_sent_again() -> None:
+    """inc-8b9d: reads that took over a second made the leader's view too old, and the leader resigned."""
+    sent_s, applied_s, read_count = asyncio.run(_read(_Client(30.0, 0.01)))
+    assert read_count == 2
+    # The time of the second read counts, not that of the first.
+    assert sent_s == pytest.approx(READ_RETRY_AFTER.total_seconds(), abs=0.1)
+    assert applied_s < 1.0
 
 
-def test_the_first_read_counts_from_when_it_was_sent() -> None:
-    """Authority is counted from the sending of the read that brought the view up to date."""
-    sent, _, asked = asyncio.run(_read(_Client(READ_RETRY_AFTER.total_seconds() + 0.1, 30.0)))
-    assert asked == 2
-    assert sent == 0.0
+def test_answer_to_the_first_read_counts_from_its_sending() -> None:
+    """The leader's authority is counted from when the read that brought the view up to date was sent."""
+    sent_s, _, read_count = asyncio.run(_read(_Client(READ_RETRY_AFTER.total_seconds() + 0.1, 30.0)))
+    assert read_count == 2
+    assert sent_s == 0.0
 
 
-def test_a_quick_read_is_sent_once() -> None:
+def test_fast_read_is_sent_once() -> None:
     assert asyncio.run(_read(_Client(0.01, 0.01)))[2] == 1
 
 
-def test_a_record_that_can_not_be_read_keeps_no_other_from_being_followed() -> None:
-    """One record of a newer release made each read fail: every poll for an unknown id was 503."""
+def test_undecodable_record_does_not_stop_the_view() -> None:
+    """One record of a newer release made each read fail, and every status request for an unknown id got 503."""
     service: Any = _Client()
     view = WatchedView(service, Clock(), rps=100, nodes=3)
     changed: list[str] = []
@@ -77,15 +78,15 @@
     assert (set(view.jobs), view.unreadable) == ({"wk-000001", "wk-000002"}, set())
 
 
-def test_a_refusal_is_no_answer() -> None:
+def test_refused_read_raises_unavailable() -> None:
     with pytest.raises(Unavailable):
         asyncio.run(_read(_Client(None)))
 
 
-def test_what_a_job_that_is_over_takes_is_known_however_many_are_over() -> None:
-    """A cancelled job's task that a new leader finds counts against its team's limit until it has ended.
+def test_descriptions_of_all_ended_jobs_are_kept() -> None:
+    """A task of a cancelled job that a new leader finds counts against its team's limit until the task has ended.
 
-    Of the 2,000 latest alone the description was kept, and after a start they were the last ones by their ids.
+    Only the descriptions of the latest 2,000 ended jobs were kept, and after a start these were the last by job id.
     """
     service: Any = _Client()
     view = WatchedView(service, Clock(), rps=100, nodes=3)
@@ -95,4 +96,4 @@
     found = view.final_spec("wk-000001")
     assert found is not None
     assert (found.job, found.team, found.cpus, found.tasks) == ("wk-000001", "red", 4.0, 2)
-    assert len({id(final.footprint) for final in view.final.values()}) == 1  # and costs no more memory than one
+    assert len({id(final.footprint) for final in view.final.values()}) == 1  # equal jobs share one description
