--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -1,4 +1,4 @@
-"""The script that plays days at other sizes: what it grows, and when it says that a day failed."""
+"""The script that runs scenarios at other sizes: how it scales a site, and which reports it counts as failed."""
 
 from pathlib import Path
 from typing import Any
@@ -25,7 +25,7 @@
     "rules_broken": {"total": 0, "by_kind": {}},
 }
 
-FAILS: dict[str, dict[str, Any]] = {
+FAILURES: dict[str, dict[str, Any]] = {
     "rules": {"rules_broken": {"total": 1, "by_kind": {"quota": 1}}},
     "c below half": {"classes": {"c": {"accepted": 22, "cancelled": 2, "started": 15, "done": 9}}},
     "team red below half": {"teams": {"red": {"jobs": 22, "started": 10}}},
@@ -36,25 +36,30 @@
 }
 
 
-def test_a_site_half_as_large_again() -> None:
-    grown = scale_site(SITE, 1.5, machines_only=False, restart_delay_s=0.3, nodes=None)
-    assert grown["capacity"] == [{"type": "box", "zone": "a", "count": 150, "spot": 46}]
-    assert grown["machines"] == [{"type": "box", "zone": "a", "spot": False, "count": 10}]
-    assert (grown["jobs"][0]["arrivals"]["rate"], grown["jobs"][0]["initial"]) == (pytest.approx(0.6), 15)
-    assert grown["teams"][0] == {"name": "red", "weight": 0.5, "cpus": 15.0, "cpus_max": 30.0}
-    assert grown["nodes"] == {"count": 3, "restart_delay_s": 0.3}
-    alone = scale_site(SITE, 1.5, machines_only=True, restart_delay_s=None, nodes=7)
-    assert (alone["capacity"][0]["count"], alone["jobs"], alone["teams"]) == (150, SITE["jobs"], SITE["teams"])
-    assert alone["nodes"] == {"count": 7, "restart_delay_s": 5.0}
+def test_site_scaled_to_one_and_a_half_times() -> None:
+    scaled = scale_site(SITE, 1.5, machines_only=False, restart_delay_s=0.3, nodes=None)
+    assert scaled["capacity"] == [{"type": "box", "zone": "a", "count": 150, "spot": 46}]
+    assert scaled["machines"] == [{"type": "box", "zone": "a", "spot": False, "count": 10}]
+    assert (scaled["jobs"][0]["arrivals"]["rate"], scaled["jobs"][0]["initial"]) == (pytest.approx(0.6), 15)
+    assert scaled["teams"][0] == {"name": "red", "weight": 0.5, "cpus": 15.0, "cpus_max": 30.0}
+    assert scaled["nodes"] == {"count": 3, "restart_delay_s": 0.3}
+    larger = scale_site(SITE, 1.5, machines_only=True, restart_delay_s=None, nodes=7)
+    assert (larger["capacity"][0]["count"], larger["jobs"], larger["teams"]) == (150, SITE["jobs"], SITE["teams"])
+    assert larger["nodes"] == {"count": 7, "restart_delay_s": 5.0}
 
 
-def test_a_day_that_is_well() -> None:
-    found = evaluate_report(ScenarioRun(Path("site.toml"), 1.5, "calm", None), REPORT, 50.0)
-    assert (found.reasons, found.cost, found.lowest_class, found.memory_mb) == ([], 40.0, ("c", 0.75, 0.6), 40.5)
+def test_scenario_without_failures_passes() -> None:
+    outcome = evaluate_report(ScenarioRun(Path("site.toml"), 1.5, "calm", None), REPORT, 50.0)
+    assert (outcome.reasons, outcome.cost, outcome.lowest_class, outcome.memory_mb) == (
+        [],
+        40.0,
+        ("c", 0.75, 0.6),
+        40.5,
+    )
 
 
-@pytest.mark.parametrize("why", FAILS)
-def test_a_day_that_fails(why: str) -> None:
-    found = evaluate_report(ScenarioRun(Path("site.toml"), 1.5, "calm", None), {**REPORT, **FAILS[why]}, 50.0)
-    assert len(found.reasons) == 1
-    assert why in found.reasons[0]
+@pytest.mark.parametrize("reason", FAILURES)
+def test_scenario_fails_with_one_reason(reason: str) -> None:
+    outcome = evaluate_report(ScenarioRun(Path("site.toml"), 1.5, "calm", None), {**REPORT, **FAILURES[reason]}, 50.0)
+    assert len(outcome.reasons) == 1
+    assert reason in outcome.reasons[0]
--- a/tests/test_startup_imports.py
+++ b/tests/test_startup_imports.py
@@ -1,4 +1,4 @@
-"""What a process that starts again has to do before it can answer."""
+"""Which modules are looked up under the directory of compiled sources when a process starts (run.py)."""
 
 import subprocess
 import sys
@@ -7,11 +7,13 @@
 RUN = Path(__file__).parent.parent / "run.py"
 
 
-def test_only_the_sources_are_looked_for_among_the_compiled_sources() -> None:
-    """Any other module would be compiled at each start: one that is new in the sources belongs into run.py's list."""
-    call = [sys.executable, "-X", "importtime", str(RUN), "--help"]
-    ran = subprocess.run(call, capture_output=True, text=True, check=True)
-    names = [line.rpartition("|")[2].strip() for line in ran.stderr.splitlines() if "|" in line]
-    between = names[names.index("gingerspar") : names.index("gingerspar.cli") + 1]
-    assert "gingerspar.controller" in between
-    assert [name for name in between if not name.startswith("gingerspar")] == []
+def test_only_the_sources_are_imported_under_the_pycache_prefix() -> None:
+    """Any other module would be compiled at each start. A module that the sources newly import belongs into run.py's
+    ``PRELOADED_MODULES``.
+    """
+    command = [sys.executable, "-X", "importtime", str(RUN), "--help"]
+    result = subprocess.run(command, capture_output=True, text=True, check=True)
+    names = [line.rpartition("|")[2].strip() for line in result.stderr.splitlines() if "|" in line]
+    imported = names[names.index("gingerspar") : names.index("gingerspar.cli") + 1]
+    assert "gingerspar.controller" in imported
+    assert [name for name in imported if not name.startswith("gingerspar")] == []
