--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,7 @@
-"""The late-result races of the write-up, played against the stand-in of the state service."""
+"""Races between claims, sweeps and late results, run against the state service stand-in.
+
+The late-result table of the write-up lists them.
+"""
 
 import asyncio
 from datetime import timedelta
@@ -33,7 +36,7 @@
 
 
 class _Client:
-    """Carries transactions to the stand-in without HTTP."""
+    """Passes transactions to the stand-in without HTTP."""
 
     most_puts = 8
     value_bytes = 8192
@@ -50,7 +53,7 @@
 
 
 class World:
-    """Two claimants, A and B, and a pending job of two tasks."""
+    """Two nodes, A and B, which may claim the same pending job of two tasks."""
 
     def __init__(self) -> None:
         self.state = StateService()
@@ -59,13 +62,13 @@
         self._put(records.TERM, TermRecord(1, "A", 1))
         spec = messages.parse_job(job(1, Pieces=2))
         self._put(KEY, JobRecord(spec, JobStatus.PENDING))
-        self.a, self.b = self._claims("A"), self._claims("B")
+        self.a, self.b = self._claim_manager("A"), self._claim_manager("B")
 
     def _put(self, key: str, record: msgspec.Struct) -> None:
         value = msgspec.json.decode(records.pack(record))
         assert self.state.commit({"Writes": [{"Put": key, "Data": value}]}).status == 200
 
-    def _claims(self, node: str) -> ClaimManager:
+    def _claim_manager(self, node: str) -> ClaimManager:
         client: Any = _Client(self.state)
         view = WatchedView(client, Clock(), rps=100, nodes=3)
         self.read(view)
@@ -79,11 +82,11 @@
             return True
 
         view.barrier = barrier  # type: ignore[method-assign]
-        claims = ClaimManager(node, client, view, session, Clock(), {}, OperatorSettings(), JobOrder())
-        claims.add_accepted("wk-000001")
-        view.on_job.append(claims._job_changed)
-        claims._job_changed("wk-000001")
-        return claims
+        claim_manager = ClaimManager(node, client, view, session, Clock(), {}, OperatorSettings(), JobOrder())
+        claim_manager.add_accepted("wk-000001")
+        view.on_job.append(claim_manager._job_changed)
+        claim_manager._job_changed("wk-000001")
+        return claim_manager
 
     def read(self, view: WatchedView) -> None:
         for key, (value, version, _) in list(self.state.keys.items()):
@@ -92,25 +95,27 @@
     def end_session(self, node: str) -> None:
         del self.state.keys[records.node_key(node)]
 
-    def claim(self, who: ClaimManager) -> bool:
-        self.read(who._view)
-        return asyncio.run(who._write(who._next_claims(timedelta(0)), Urgency.CLAIM, hand_over=True))
+    def claim(self, claim_manager: ClaimManager) -> bool:
+        self.read(claim_manager._view)
+        return asyncio.run(
+            claim_manager._write(claim_manager._next_claims(timedelta(0)), Urgency.CLAIM, hand_over=True)
+        )
 
-    def result(self, who: ClaimManager, tasks: set[int]) -> RecordChange:
-        change = with_results(who._view.jobs["wk-000001"], tasks, 8192)
+    def result(self, claim_manager: ClaimManager, tasks: set[int]) -> RecordChange:
+        change = with_results(claim_manager._view.jobs["wk-000001"], tasks, 8192)
         assert change is not None
         return change
 
-    def write(self, who: ClaimManager, change: RecordChange) -> bool:
-        return asyncio.run(who._write([change], Urgency.RESULT))
+    def write(self, claim_manager: ClaimManager, change: RecordChange) -> bool:
+        return asyncio.run(claim_manager._write([change], Urgency.RESULT))
 
     def sweep(self) -> None:
-        """The reconciler's write, made by B."""
+        """B releases the lapsed claim of A, as the reconciler does."""
         self.read(self.b._view)
         self.b._view.nodes.pop("A", None)
-        found = lapsed_claims(self.b._view, 8)
-        assert len(found) == 1
-        assert self.write(self.b, found[0])
+        changes = lapsed_claims(self.b._view, 8)
+        assert len(changes) == 1
+        assert self.write(self.b, changes[0])
 
     @property
     def record(self) -> dict[str, Any]:
@@ -118,7 +123,7 @@
         return found
 
 
-def test_a_result_before_the_sweep_wins() -> None:
+def test_result_before_the_sweep_is_recorded() -> None:
     world = World()
     assert world.claim(world.a)
     assert world.record["attempt"] == 1
@@ -126,30 +131,30 @@
     assert world.record["status"] == "done"
 
 
-def test_a_result_after_the_sweep_is_dropped() -> None:
+def test_result_after_the_sweep_is_rejected() -> None:
     world = World()
     assert world.claim(world.a)
-    late = world.result(world.a, {0, 1})
+    late_result = world.result(world.a, {0, 1})
     world.end_session("A")
     world.sweep()
     assert (world.record["status"], world.record["attempt"]) == ("pending", 1)
-    assert not world.write(world.a, late)
+    assert not world.write(world.a, late_result)
     assert world.record["status"] == "pending"
 
 
-def test_a_result_after_another_claim_is_dropped() -> None:
+def test_result_after_another_claim_is_rejected() -> None:
     world = World()
     assert world.claim(world.a)
-    late = world.result(world.a, {0, 1})
+    late_result = world.result(world.a, {0, 1})
     world.end_session("A")
     world.sweep()
     assert world.claim(world.b)
     assert (world.record["claimant"][0], world.record["attempt"]) == ("B", 2)
-    assert not world.write(world.a, late)
+    assert not world.write(world.a, late_result)
     assert (world.record["status"], world.record["claimant"][0]) == ("running", "B")
 
 
-def test_a_claim_that_arrives_after_its_session_is_refused() -> None:
+def test_claim_after_the_end_of_its_session_is_rejected() -> None:
     world = World()
     batch = world.a._next_claims(timedelta(0))
     assert len(batch) == 1
@@ -158,7 +163,7 @@
     assert world.record["status"] == "pending"
 
 
-def test_a_claim_made_under_an_older_term_is_refused() -> None:
+def test_claim_made_under_an_older_term_is_rejected() -> None:
     world = World()
     batch = world.a._next_claims(timedelta(0))
     world._put(records.TERM, TermRecord(2, "B", 1))
@@ -166,7 +171,7 @@
     assert world.record["status"] == "pending"
 
 
-def test_two_claimants_get_disjoint_records() -> None:
+def test_record_is_claimed_by_one_node_only() -> None:
     world = World()
     batch = world.b._next_claims(timedelta(0))
     assert world.claim(world.a)
@@ -174,7 +179,7 @@
     assert world.record["claimant"][0] == "A"
 
 
-def test_a_job_is_done_only_with_all_its_tasks() -> None:
+def test_job_is_done_only_with_all_its_tasks() -> None:
     world = World()
     assert world.claim(world.a)
     assert world.write(world.a, world.result(world.a, {1}))
@@ -183,23 +188,23 @@
     assert world.record["status"] == "done"
 
 
-def test_what_has_waited_long_is_claimed_past_the_limit() -> None:
-    """kerlann-fonts-ops inc-e135: the largest rendering jobs waited for their claim until four minutes had passed."""
+def test_overdue_job_is_claimed_past_the_limit() -> None:
+    """kerlann-fonts-ops inc-e135: the largest rendering jobs were not claimed before four minutes had passed."""
     world = World()
     spec = messages.parse_job(job(2, Pieces=9))
     just_now = world.a._clock.today().timestamp()
-    claim = JobRecord(spec, JobStatus.RUNNING, 1, Claimant("B", 2), submitted=just_now)
-    world._put(records.job_key("wk-000002"), claim)
+    other_claim = JobRecord(spec, JobStatus.RUNNING, 1, Claimant("B", 2), submitted=just_now)
+    world._put(records.job_key("wk-000002"), other_claim)
     world.read(world.a._view)
     world.a._teams = {"red": TeamFacts("red", cpus_max=16)}
-    waited = [10.0, CLAIM_DEADLINE.total_seconds() + 1]
-    found = []
-    for seconds in waited:
+    ages_s = [10.0, CLAIM_DEADLINE.total_seconds() + 1]
+    claimed_jobs = []
+    for age_s in ages_s:
         entry = world.a._view.jobs["wk-000001"]
-        entry.record = msgspec.structs.replace(entry.record, submitted=just_now - seconds)
+        entry.record = msgspec.structs.replace(entry.record, submitted=just_now - age_s)
         world.a.add_accepted("wk-000001")
-        found.append([change.job for change in world.a._next_claims(timedelta(0))])
-    assert found == [[], ["wk-000001"]]
+        claimed_jobs.append([change.job for change in world.a._next_claims(timedelta(0))])
+    assert claimed_jobs == [[], ["wk-000001"]]
 
 
 def test_claims_past_the_limit_are_skipped() -> None:
@@ -209,25 +214,25 @@
         spec = messages.parse_job(job(number, **changes))
         return Versioned(JobRecord(spec, status), 1, records.TaskSet(spec.tasks))
 
-    held = ClaimedResources()
-    held.update_job("wk-000001", entry(1, JobStatus.RUNNING, Pieces=4))
-    held.update_job("wk-000009", entry(9, JobStatus.PENDING, Pieces=9))
-    assert held.over_limit(teams, entry(2, JobStatus.PENDING))
-    # Routine claims don't keep urgent work of the same team from being claimed.
-    assert not held.over_limit(teams, entry(3, JobStatus.PENDING, Urgency=Priority.HIGH.value))
+    resources = ClaimedResources()
+    resources.update_job("wk-000001", entry(1, JobStatus.RUNNING, Pieces=4))
+    resources.update_job("wk-000009", entry(9, JobStatus.PENDING, Pieces=9))
+    assert resources.over_limit(teams, entry(2, JobStatus.PENDING))
+    # Claims of normal priority do not prevent claims of the same team's urgent jobs.
+    assert not resources.over_limit(teams, entry(3, JobStatus.PENDING, Urgency=Priority.HIGH.value))
     small = entry(4, JobStatus.RUNNING, Pieces=2)
-    held.update_job("wk-000001", small)  # it has fewer unfinished tasks now, or it is over
-    assert not held.over_limit(teams, entry(5, JobStatus.PENDING))
-    more = held.copy_totals()
-    more.add(entry(6, JobStatus.PENDING, Pieces=2))
-    assert more.over_limit(teams, entry(5, JobStatus.PENDING))
-    assert not held.over_limit(teams, entry(5, JobStatus.PENDING))
-    # What was claimed late, so that it can begin, counts with one task: the others are claimed as before.
-    held.update_job("wk-000007", entry(7, JobStatus.PENDING, Pieces=50), overdue=True)
-    held.update_job("wk-000007", entry(7, JobStatus.RUNNING, Pieces=50), overdue=True)
-    assert not held.over_limit(teams, entry(5, JobStatus.PENDING))
-    held.update_job("wk-000007", entry(7, JobStatus.RUNNING, Pieces=50), overdue=True)  # a result was written
-    held.update_job("wk-000007", None)
-    held.update_job("wk-000001", None)
-    assert held.copy_totals()._totals == {("red", Priority.NORMAL.rank): (0.0, 0.0)}
+    resources.update_job("wk-000001", small)  # it has fewer unfinished tasks now, or it has ended
+    assert not resources.over_limit(teams, entry(5, JobStatus.PENDING))
+    totals = resources.copy_totals()
+    totals.add(entry(6, JobStatus.PENDING, Pieces=2))
+    assert totals.over_limit(teams, entry(5, JobStatus.PENDING))
+    assert not resources.over_limit(teams, entry(5, JobStatus.PENDING))
+    # An overdue job that was claimed past the limit counts with one task, so that other jobs are still claimed.
+    resources.update_job("wk-000007", entry(7, JobStatus.PENDING, Pieces=50), overdue=True)
+    resources.update_job("wk-000007", entry(7, JobStatus.RUNNING, Pieces=50), overdue=True)
+    assert not resources.over_limit(teams, entry(5, JobStatus.PENDING))
+    resources.update_job("wk-000007", entry(7, JobStatus.RUNNING, Pieces=50), overdue=True)  # a result was written
+    resources.update_job("wk-000007", None)
+    resources.update_job("wk-000001", None)
+    assert resources.copy_totals()._totals == {("red", Priority.NORMAL.rank): (0.0, 0.0)}
     assert claimed(small, Claimant("A", 1), 3).attempt == 1
--- a/tests/test_process_restarts.py
+++ b/tests/test_process_restarts.py
@@ -1,4 +1,7 @@
-"""Processes that end and are back within a fraction of a second, while what they had asked is still under way."""
+"""Requests and writes of a previous process that are still in transit, and connections and sockets left open.
+
+The platform restarts an ended process within a fraction of a second.
+"""
 
 import asyncio
 from datetime import timedelta
@@ -20,7 +23,7 @@
 
 
 class _Link:
-    """Keeps what is sent."""
+    """Records the messages that are sent."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
@@ -30,30 +33,32 @@
         return True
 
 
-async def _two_lives() -> Answer:
-    """Both ask the same peer; the answer to the first one's question comes to the second."""
+async def _answer_after_restart() -> Answer:
+    """The previous and the present process forward to the same peer; both answers reach the present process."""
     link: Any = _Link()
     no_serve: Any = SimpleNamespace()
-    former = asyncio.ensure_future(RequestRelay("n1", link, no_serve).forward("n2", "GET", "/v1/jobs/wk-000001", b""))
+    previous_request = asyncio.ensure_future(
+        RequestRelay("n1", link, no_serve).forward("n2", "GET", "/v1/jobs/wk-000001", b"")
+    )
     await asyncio.sleep(0)
-    former.cancel()
-    present = RequestRelay("n1", link, no_serve)
-    asked = asyncio.ensure_future(present.forward("n2", "GET", "/v1/jobs/wk-000002", b""))
+    previous_request.cancel()
+    relay = RequestRelay("n1", link, no_serve)
+    request = asyncio.ensure_future(relay.forward("n2", "GET", "/v1/jobs/wk-000002", b""))
     await asyncio.sleep(0)
     first, second = link.sent
-    present.handle_answer(peers.Relayed("n2", first.number, 200, "of wk-000001"))
+    relay.handle_answer(peers.Relayed("n2", first.number, 200, "of wk-000001"))
     await asyncio.sleep(0)
-    assert not asked.done()
-    present.handle_answer(peers.Relayed("n2", second.number, 200, "of wk-000002"))
-    return await asked
+    assert not request.done()
+    relay.handle_answer(peers.Relayed("n2", second.number, 200, "of wk-000002"))
+    return await request
 
 
-def test_a_peers_answer_to_the_former_process_is_given_to_nobody() -> None:
-    assert asyncio.run(_two_lives()).body == b"of wk-000002"
+def test_peer_answer_to_the_previous_process_is_ignored() -> None:
+    assert asyncio.run(_answer_after_restart()).body == b"of wk-000002"
 
 
 class _Clock(Clock):
-    """Moved by hand."""
+    """A clock that only the test moves."""
 
     at = timedelta(0)
 
@@ -61,18 +66,18 @@
         return self.at
 
 
-async def _answered(client: Client) -> bool:
-    """On the connection that it has kept; a new one is not opened."""
+async def _still_connected(client: Client) -> bool:
+    """Whether a request is answered on the client's open connection; no new connection is opened."""
     try:
         return (await client.request("GET", "/up"))[0] == 200
     except NoAnswer:
         return False
 
 
-async def _left_behind(sockets: float) -> list[bool]:
-    """Four workers ask once and go silent; 20 s later one more comes. Whose connections are still good?"""
+async def _connections_after_silence(max_sockets: float) -> list[bool]:
+    """Four clients send one request each, and 20 s later a fifth one: whose connections are still open."""
     clock, port = _Clock(), free_port()
-    server = Server(lambda request: Answer(200, b"{}"), sockets, clock)
+    server = Server(lambda request: Answer(200, b"{}"), max_sockets, clock)
     server.listen(port, "127.0.0.1")
     clients = [Client(f"127.0.0.1:{port}") for _ in range(5)]
     try:
@@ -80,7 +85,7 @@
             await client.request("GET", "/up")
         clock.at += timedelta(seconds=20)
         await clients[4].request("GET", "/up")
-        return [await _answered(client) for client in clients]
+        return [await _still_connected(client) for client in clients]
     finally:
         for client in clients:
             client.close()
@@ -88,87 +93,87 @@
         await asyncio.sleep(0)
 
 
-def test_connections_left_behind_go_once_sockets_are_short() -> None:
-    assert asyncio.run(_left_behind(1000)) == [True] * 5
-    assert asyncio.run(_left_behind(4)) == [False, False, True, True, True]
+def test_idle_connections_are_closed_once_sockets_are_short() -> None:
+    assert asyncio.run(_connections_after_silence(1000)) == [True] * 5
+    assert asyncio.run(_connections_after_silence(4)) == [False, False, True, True, True]
 
 
-async def _given_up_while_connecting(streams: list[iostream.IOStream]) -> None:
-    asking = asyncio.ensure_future(Client("127.0.0.1:9").request("GET", "/status"))
+async def _cancel_while_connecting(streams: list[iostream.IOStream]) -> None:
+    request = asyncio.ensure_future(Client("127.0.0.1:9").request("GET", "/status"))
     await asyncio.sleep(0.01)
     assert [stream.closed() for stream in streams] == [False]
-    asking.cancel()
-    await asyncio.gather(asking, return_exceptions=True)
+    request.cancel()
+    await asyncio.gather(request, return_exceptions=True)
 
 
-def test_a_connection_given_up_while_it_is_made_leaves_no_socket(monkeypatch: pytest.MonkeyPatch) -> None:
-    """one-has-every-link-kerlann: a controller that asked machines behind a cut had 65 connections, the others 22."""
+def test_request_cancelled_while_connecting_closes_its_socket(monkeypatch: pytest.MonkeyPatch) -> None:
+    """one-has-every-link-kerlann: a controller that probed partitioned machines had 65 connections, the others 22."""
     streams: list[iostream.IOStream] = []
 
-    def silent(stream: iostream.IOStream, address: object) -> asyncio.Future[None]:
+    def connect_without_answer(stream: iostream.IOStream, address: object) -> asyncio.Future[None]:
         streams.append(stream)
         return asyncio.get_running_loop().create_future()
 
-    monkeypatch.setattr(iostream.IOStream, "connect", silent)
-    asyncio.run(_given_up_while_connecting(streams))
+    monkeypatch.setattr(iostream.IOStream, "connect", connect_without_answer)
+    asyncio.run(_cancel_while_connecting(streams))
     assert [stream.closed() for stream in streams] == [True]
 
 
-class _Lives(World):
-    """A's process ends and goes on in the same session, as ``Session._resume`` has it; what it had sent comes late."""
+class _RestartedWorld(World):
+    """A's process was restarted and resumed its session (``Session._resume``); its previous writes are late."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.former, self.a = self.a, self._claims("A")
+        self.previous, self.a = self.a, self._claim_manager("A")
 
-    def late(self, change: RecordChange, *, claim: bool = False) -> bool:
-        return asyncio.run(self.former._write([change], Urgency.CLAIM, hand_over=claim))
+    def write_late(self, change: RecordChange, *, claim: bool = False) -> bool:
+        return asyncio.run(self.previous._write([change], Urgency.CLAIM, hand_over=claim))
 
-    def to_claim(self) -> RecordChange:
-        return self.former._next_claims(timedelta(0))[0]
+    def next_claim(self) -> RecordChange:
+        return self.previous._next_claims(timedelta(0))[0]
 
-    def seen(self) -> tuple[str, int]:
+    def recorded(self) -> tuple[str, int]:
         self.read(self.a._view)
         return self.record["status"], self.record.get("attempt", 0)
 
 
-def test_a_late_claim_of_the_former_process_is_the_present_ones() -> None:
-    lives = _Lives()
-    assert lives.late(lives.to_claim(), claim=True)
-    assert lives.seen() == ("running", 1)
-    assert not lives.claim(lives.b)
-    assert lives.write(lives.a, lives.result(lives.a, {0, 1}))
-    assert lives.seen() == ("done", 1)
-
-
-def test_a_late_claim_fails_once_the_present_process_has_claimed() -> None:
-    lives = _Lives()
-    change = lives.to_claim()
-    assert lives.claim(lives.a)
-    assert not lives.late(change, claim=True)
-    assert lives.seen() == ("running", 1)
-
-
-def test_a_late_result_neither_undoes_a_newer_one_nor_is_it_lost() -> None:
-    lives = _Lives()
-    assert lives.claim(lives.a)
-    lives.read(lives.former._view)
-    change = lives.result(lives.former, {0})
-    assert lives.write(lives.a, lives.result(lives.a, {1}))
-    assert not lives.late(change)
-    assert lives.seen() == ("running", 1)
-    # The leader tells of a finish until the record shows it.
-    assert lives.write(lives.a, lives.result(lives.a, {0}))
-    assert lives.seen() == ("done", 1)
-
-
-def test_a_late_release_costs_a_new_claim_and_nothing_else() -> None:
-    lives = _Lives()
-    assert lives.claim(lives.a)
-    lives.read(lives.former._view)
-    entry = lives.former._view.jobs["wk-000001"]
-    assert lives.late(RecordChange("wk-000001", entry.version, released(entry)))
-    assert lives.seen() == ("pending", 1)
-    lives.a.add_accepted("wk-000001")
-    assert lives.claim(lives.a)
-    assert lives.seen() == ("running", 2)
+def test_late_claim_of_the_previous_process_belongs_to_the_present_one() -> None:
+    world = _RestartedWorld()
+    assert world.write_late(world.next_claim(), claim=True)
+    assert world.recorded() == ("running", 1)
+    assert not world.claim(world.b)
+    assert world.write(world.a, world.result(world.a, {0, 1}))
+    assert world.recorded() == ("done", 1)
+
+
+def test_late_claim_fails_once_the_present_process_has_claimed() -> None:
+    world = _RestartedWorld()
+    change = world.next_claim()
+    assert world.claim(world.a)
+    assert not world.write_late(change, claim=True)
+    assert world.recorded() == ("running", 1)
+
+
+def test_late_result_neither_undoes_a_newer_one_nor_is_lost() -> None:
+    world = _RestartedWorld()
+    assert world.claim(world.a)
+    world.read(world.previous._view)
+    change = world.result(world.previous, {0})
+    assert world.write(world.a, world.result(world.a, {1}))
+    assert not world.write_late(change)
+    assert world.recorded() == ("running", 1)
+    # The leader reports a finished task until the record shows it.
+    assert world.write(world.a, world.result(world.a, {0}))
+    assert world.recorded() == ("done", 1)
+
+
+def test_late_release_only_requires_a_new_claim() -> None:
+    world = _RestartedWorld()
+    assert world.claim(world.a)
+    world.read(world.previous._view)
+    entry = world.previous._view.jobs["wk-000001"]
+    assert world.write_late(RecordChange("wk-000001", entry.version, released(entry)))
+    assert world.recorded() == ("pending", 1)
+    world.a.add_accepted("wk-000001")
+    assert world.claim(world.a)
+    assert world.recorded() == ("running", 2)
