--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -1,4 +1,4 @@
-"""The front door's limits, without a network."""
+"""Limits and time-outs of the job API, without a network."""
 
 import asyncio
 from types import SimpleNamespace
@@ -34,8 +34,8 @@
     return job_api
 
 
-async def _crowd(write_rate: float, users: int) -> list[tuple[int, str | None]]:
-    """What each of the users has been answered a moment after all have come at once."""
+async def _submit_all(write_rate: float, users: int) -> list[tuple[int, str | None]]:
+    """Status and Retry-After of the submissions that were answered within 0.05 s, when all arrived at once."""
     job_api = _job_api(write_rate)
     waiting = [asyncio.ensure_future(job_api.submit(msgspec.json.encode(job(n)))) for n in range(users)]
     await asyncio.sleep(0.05)
@@ -45,62 +45,63 @@
     return [(answer.status, answer.headers.get("Retry-After")) for answer in answers]
 
 
-def test_who_can_not_be_served_in_time_is_told_at_once() -> None:
-    """Submissions queued behind more writes than their users would wait for."""
-    room = int(2.0 * WRITE_TIMEOUT.total_seconds()) + 1
-    answers = asyncio.run(_crowd(2.0, room + 3))
+def test_submissions_that_cannot_be_committed_in_time_get_429_at_once() -> None:
+    """Submissions were queued behind more writes than could be made before their users gave up."""
+    accepted = int(2.0 * WRITE_TIMEOUT.total_seconds()) + 1
+    answers = asyncio.run(_submit_all(2.0, accepted + 3))
     assert answers == [(429, "1")] * 3
 
 
-def test_the_queue_has_an_end() -> None:
-    answers = asyncio.run(_crowd(1000.0, MAX_QUEUED_SUBMISSIONS + 2))
+def test_submission_queue_is_bounded() -> None:
+    answers = asyncio.run(_submit_all(1000.0, MAX_QUEUED_SUBMISSIONS + 2))
     assert [status for status, _ in answers] == [429, 429]
 
 
-async def _while_the_state_service_is_gone(path: str) -> tuple[int, str | None, bool]:
+async def _request_without_state_service(path: str) -> tuple[int, str | None, bool]:
     job_api = _job_api(25.0)
     job_api._view.read_sent -= STATE_UNAVAILABLE_AFTER * 2
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started_at = loop.time()
     if path == "submit":
         answer = await job_api.submit(msgspec.json.encode(job(1)))
     else:
-        answer = await resolve_answer(job_api.status("wk-000001") if path == "ask" else job_api.cancel("wk-000001"))
-    return answer.status, answer.headers.get("Retry-After"), loop.time() - begun < 0.5
+        answer = await resolve_answer(job_api.status("wk-000001") if path == "status" else job_api.cancel("wk-000001"))
+    return answer.status, answer.headers.get("Retry-After"), loop.time() - started_at < 0.5
 
 
-@pytest.mark.parametrize("path", ["submit", "ask", "cancel"])
-def test_without_the_state_service_nobody_is_kept_waiting(path: str) -> None:
-    """Nor is an unknown job called unknown: the answer says when to come back."""
-    assert asyncio.run(_while_the_state_service_is_gone(path)) == (503, "1", True)
+@pytest.mark.parametrize("path", ["submit", "status", "cancel"])
+def test_requests_without_the_state_service_get_503_at_once(path: str) -> None:
+    """The answer is 503 with a Retry-After time, also for an unknown job id: 404 would not be confirmed."""
+    assert asyncio.run(_request_without_state_service(path)) == (503, "1", True)
 
 
-async def _polls() -> list[tuple[int, int] | None]:
-    """Status and read by which they were answered: before the first read is sent, while it is under way, then no more.
+async def _status_requests_over_reads() -> list[tuple[int, int] | None]:
+    """Status of each answer and which read it followed, or None for a request without an answer.
 
-    The reads are the test's own: what was asked before one was sent may be answered by it.
+    Two requests arrive before the first read is sent, the third while that read is in progress; no second read
+    follows. The test completes the reads itself: a read may answer only requests that arrived before it was sent.
     """
     job_api = _job_api(25.0)
     view = job_api._view
-    expiring = asyncio.ensure_future(job_api.run_status_requests())
-    asked: list[Answer | asyncio.Future[Answer]] = [job_api.status("wk-000001"), job_api.status("wk-000002")]
-    served, view._barriers, view._shared_barrier = view._barriers, [], None  # the first read is sent
-    asked.append(job_api.status("wk-000001"))
-    by: list[tuple[int, int] | None] = [None] * 3
+    expiry = asyncio.ensure_future(job_api.run_status_requests())
+    answers: list[Answer | asyncio.Future[Answer]] = [job_api.status("wk-000001"), job_api.status("wk-000002")]
+    barriers, view._barriers, view._shared_barrier = view._barriers, [], None  # the first read is sent
+    answers.append(job_api.status("wk-000001"))
+    outcomes: list[tuple[int, int] | None] = [None] * 3
     for read in (1, 2):
-        for future in served:
+        for future in barriers:
             future.set_result(None)
         await asyncio.sleep(0)
-        for place, answer in enumerate(asked):
-            if by[place] is None and isinstance(answer, asyncio.Future) and answer.done():
-                by[place] = (answer.result().status, read)
+        for index, answer in enumerate(answers):
+            if outcomes[index] is None and isinstance(answer, asyncio.Future) and answer.done():
+                outcomes[index] = (answer.result().status, read)
         if read == 1:
-            await asyncio.sleep(READ_TIMEOUT.total_seconds() + 0.5)  # the second one never comes
-            served = []
-    expiring.cancel()
-    return by
+            await asyncio.sleep(READ_TIMEOUT.total_seconds() + 0.5)  # no second read follows
+            barriers = []
+    expiry.cancel()
+    return outcomes
 
 
-def test_polls_share_the_next_read_and_end_in_time() -> None:
-    """404 only by a read sent after the question; without one 503 before its user gives up."""
-    assert asyncio.run(_polls()) == [(404, 1), (404, 1), (503, 2)]
+def test_status_requests_share_the_next_read_and_time_out() -> None:
+    """404 is given only after a read that was sent after the request; without one, 503 before the user gives up."""
+    assert asyncio.run(_status_requests_over_reads()) == [(404, 1), (404, 1), (503, 2)]
--- a/tests/test_reports_without_leader.py
+++ b/tests/test_reports_without_leader.py
@@ -1,4 +1,4 @@
-"""What a worker is told while nobody commands."""
+"""How a worker's report is answered while there is no leader."""
 
 import asyncio
 
@@ -16,20 +16,21 @@
 }  # fmt: skip
 
 
-async def _told() -> tuple[bool, Answer]:
+async def _answer_to_report() -> tuple[bool, Answer]:
+    """Whether the report was answered before a leader was known, and the answer given once n1 leads."""
     controller = Controller(parse_settings(Cluster().settings("n0")), OperatorSettings())
     request = Request("POST", names.PATH_REPORT, "", msgspec.json.encode(REPORT))
     waiting = asyncio.ensure_future(controller._handle(request))  # type: ignore[arg-type]
     await asyncio.sleep(0.1)
-    controller._receive(peers.pack(peers.Heartbeat("n2", 3, False, 0.1, 0)))  # it doesn't command either
+    controller._receive(peers.pack(peers.Heartbeat("n2", 3, False, 0.1, 0)))  # n2 does not command either
     await asyncio.sleep(0.1)
-    early = waiting.done()
+    answered_early = waiting.done()
     controller._receive(peers.pack(peers.Heartbeat("n1", 4, True, 0.1, 0)))
-    return early, await asyncio.wait_for(waiting, 0.5)
+    return answered_early, await asyncio.wait_for(waiting, 0.5)
 
 
-def test_a_worker_waits_until_somebody_commands_and_is_sent_there() -> None:
-    """Combination 118: sent round, workers ran into the node that had just been cut off, for 4 s of 18."""
-    early, answer = asyncio.run(_told())
-    assert not early
+def test_report_waits_for_a_leader_and_is_redirected_to_it() -> None:
+    """Combination 118: workers redirected from node to node lost 4 s of 18 on a node that had just been partitioned."""
+    answered_early, answer = asyncio.run(_answer_to_report())
+    assert not answered_early
     assert (answer.status, msgspec.json.decode(answer.body)) == (421, {"Foreman": "n1"})
