--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,7 +1,7 @@
-"""Plays the kept traces: events in, decisions out, on a simulated clock.
+"""Runs the traces: events go in, and the decisions of the dispatcher are checked, on a simulated clock.
 
-Each file in ``tests/traces`` is one case. A line is an event or, after ``>``, what
-must hold at that moment. ``docs/traces.md`` lists the words.
+Each file in ``tests/traces`` is one case. A line is an event or, after ``>``, an expectation that must hold at that
+moment. ``#`` starts a comment. ``docs/traces.md`` lists the words of the trace language.
 """
 
 from datetime import timedelta
--- a/tests/tracing.py
+++ b/tests/tracing.py
@@ -1,4 +1,7 @@
-"""Reads trace lines and drives the dispatcher with them."""
+"""Runs trace lines against a dispatcher: events change its state, expectations check it.
+
+The word of an event is the name of a method of ``Player`` with ``-`` in place of ``_``. Times are in seconds.
+"""
 
 import shlex
 from datetime import timedelta
@@ -30,16 +33,17 @@
     return dict(word.split("=", 1) for word in words)
 
 
-def _span(text: str) -> timedelta:
+def _seconds(text: str) -> timedelta:
     return timedelta(seconds=float(text))
 
 
 class Player:
-    """One dispatcher, its workers' lease 18 s, a cancellation 43 s unless a trace says otherwise."""
+    """Runs one trace with one dispatcher on a simulated clock; worker leases last 18 s, cancellations up to 43 s."""
 
     def __init__(self) -> None:
         self.now = timedelta(0)
-        self.read: timedelta | None = None  # when the last good read was sent; None: just now
+        # When the last successful read of the state service was sent; None: at the present moment.
+        self.last_state_read: timedelta | None = None
         self.workers = WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43, gang_wait_s=35, gang_peer_s=4)
         self.teams = [TeamFacts("red"), TeamFacts("blue")]
         self.types = [MachineType("big", 16, 64, cache_gb=60, zones=("a", "b"), price=1.0, spot_price=0.3, boot_s=20)]
@@ -49,17 +53,20 @@
         self.answer: list[Command] | None = None
         self.refused = ""
         self.specs: dict[str, JobSpec] = {}
-        self.over: set[str] = set()
+        self.ended_jobs: set[str] = set()
 
     def play(self, line: str) -> int:
-        """Carries one line out; 1 if it was an expectation."""
+        """Runs one line and returns 1 if it is an expectation, otherwise 0.
+
+        A failed expectation raises AssertionError, an unknown one ValueError, an unknown event AttributeError.
+        """
         words = shlex.split(line)
         if words[0] == ">":
             self._expect(words[1], words[2:])
             return 1
         if words[0] == "at":
-            self.now = _span(words[1])
-            self.dispatcher.tick(self.now, self.now if self.read is None else self.read)
+            self.now = _seconds(words[1])
+            self.dispatcher.tick(self.now, self.now if self.last_state_read is None else self.last_state_read)
             words = words[2:]
             if not words:
                 self.dispatcher.place_tasks(self.now)
@@ -70,115 +77,124 @@
     # -- events ---------------------------------------------------------------
 
     def _limit(self, words: list[str]) -> None:
-        given = _fields(words[1:])
-        team = TeamFacts(words[0], cpus_max=float(given.get("cpus_max", 0)), cpus=float(given.get("cpus", 0)))
-        self.teams = [each for each in self.teams if each.name != team.name] + [team]
+        """Sets the limits of a team: ``limit red cpus_max=24``. The dispatcher is replaced by one of the same term."""
+        options = _fields(words[1:])
+        team = TeamFacts(words[0], cpus_max=float(options.get("cpus_max", 0)), cpus=float(options.get("cpus", 0)))
+        self.teams = [other for other in self.teams if other.name != team.name] + [team]
         self._term([str(self.dispatcher.term)])
 
-    def _asked(self, words: list[str]) -> None:
-        """What the operators ask of class c: ``asked wait 30 150``, ``asked finished 250``."""
+    def _objective(self, words: list[str]) -> None:
+        """Adds objectives for class c: ``objective wait 30 150``, ``objective finished 250``.
+
+        The dispatcher is replaced by one of the same term.
+        """
         self.objectives += [Objective(words[0], "c", float(within)) for within in words[1:]]
         self._term([str(self.dispatcher.term)])
 
     def _type(self, words: list[str]) -> None:
-        given = _fields(words[1:])
+        """Adds a machine type: ``type gpu cpus=24 memory=144 gpus=2 price=6 boot=20``."""
+        options = _fields(words[1:])
         self.types.append(
             MachineType(
                 words[0],
-                float(given["cpus"]),
-                float(given["memory"]),
-                gpus=float(given.get("gpus", 0)),
+                float(options["cpus"]),
+                float(options["memory"]),
+                gpus=float(options.get("gpus", 0)),
                 zones=("a", "b"),
                 cache_gb=60,
-                price=float(given.get("price", 1)),
-                boot_s=float(given.get("boot", 20)),
+                price=float(options.get("price", 1)),
+                boot_s=float(options.get("boot", 20)),
             )
         )
         self.dispatcher.set_types(self.types)
 
     def _term(self, words: list[str]) -> None:
-        """A new term: ``term 2 roster=m1,m2``. The roster's machines are of type big in zone a."""
-        given = _fields(words[1:])
-        names = given.get("roster", "").split(",") if given.get("roster") else []
-        roster = [(name, "big", given.get("zone", "a"), False) for name in names]
+        """Starts a new term with a new dispatcher: ``term 2 roster=m1,m2``.
+
+        The machines of the roster are of type big, and in zone a unless ``zone`` names another.
+        """
+        options = _fields(words[1:])
+        names = options.get("roster", "").split(",") if options.get("roster") else []
+        roster = [(name, "big", options.get("zone", "a"), False) for name in names]
         self.dispatcher = Dispatcher(
             int(words[0]), self.now, self.workers, self.teams, objectives=self.objectives, roster=roster, nodes=3
         )
         self.dispatcher.set_types(self.types)
         self.dispatcher.final_spec = self.specs.get
-        self.dispatcher.is_ended = self.over.__contains__
+        self.dispatcher.is_ended = self.ended_jobs.__contains__
 
     def _job(self, words: list[str]) -> None:
-        """A record as the state service has it: ``job wk-1 array tasks=2 attempt=1``."""
-        given = _fields(words[2:])
+        """Sets the record of a job in the state service: ``job wk-1 array tasks=2 attempt=1``."""
+        options = _fields(words[2:])
         spec = JobSpec(
             job=words[0],
             jobclass="c",
-            team=given.get("team", "red"),
+            team=options.get("team", "red"),
             shape=Shape({"array": "batch", "gang": "gang", "service": "daemon"}[words[1]]),
-            priority=Priority(given.get("priority", "standard")),
-            tasks=int(given.get("tasks", 1)),
-            cpus=float(given.get("cpus", 8)),
-            memory_gb=float(given.get("memory", 8)),
-            gpus=float(given.get("gpus", 0)),
-            image=given.get("image", "img"),
-            image_gb=float(given.get("image_gb", 1)),
-            due_s=float(given["due"]) if "due" in given else None,
-            estimate_s=float(given.get("estimate", 0)),
-            one_zone=given.get("one_zone") == "yes",
-            spread=given.get("spread") == "yes",
-            spot=given.get("spot") == "yes",
-            checkpoint_s=float(given.get("checkpoint", 0)),
-            save_s=float(given.get("save", 0)),
+            priority=Priority(options.get("priority", "standard")),
+            tasks=int(options.get("tasks", 1)),
+            cpus=float(options.get("cpus", 8)),
+            memory_gb=float(options.get("memory", 8)),
+            gpus=float(options.get("gpus", 0)),
+            image=options.get("image", "img"),
+            image_gb=float(options.get("image_gb", 1)),
+            due_s=float(options["due"]) if "due" in options else None,
+            estimate_s=float(options.get("estimate", 0)),
+            one_zone=options.get("one_zone") == "yes",
+            spread=options.get("spread") == "yes",
+            spot=options.get("spot") == "yes",
+            checkpoint_s=float(options.get("checkpoint", 0)),
+            save_s=float(options.get("save", 0)),
         )
         self.specs[spec.job] = spec
-        term = int(given.get("term", self.dispatcher.term))
-        finished = TaskSet(spec.tasks, [int(n) for n in given.get("finished", "").split(",") if n])
+        term = int(options.get("term", self.dispatcher.term))
+        finished = TaskSet(spec.tasks, [int(n) for n in options.get("finished", "").split(",") if n])
         record = JobRecord(
             spec,
-            JobStatus(given.get("status", "running")),
-            int(given.get("attempt", 1)),
+            JobStatus(options.get("status", "running")),
+            int(options.get("attempt", 1)),
             Claimant("n1", 1),
-            first_term=int(given.get("first_term", term)),
+            first_term=int(options.get("first_term", term)),
             claim_term=term,
             submitted=self.now.total_seconds(),
         )
         self.dispatcher.set_record(spec.job, record, finished, self.now)
         self.dispatcher.place_tasks(self.now)
 
-    def _no_state(self, words: list[str]) -> None:
-        """From now on the state service can't be read."""
-        self.read = self.now
+    def _state_down(self, words: list[str]) -> None:
+        """Makes reads of the state service fail from now on."""
+        self.last_state_read = self.now
 
-    def _state_back(self, words: list[str]) -> None:
-        self.read = None
+    def _state_up(self, words: list[str]) -> None:
+        """Makes reads of the state service succeed again."""
+        self.last_state_read = None
 
-    def _over(self, words: list[str]) -> None:
-        """The record says done or cancelled."""
-        self.over.add(words[0])
+    def _ended(self, words: list[str]) -> None:
+        """Ends a job: its record shows it as done or cancelled."""
+        self.ended_jobs.add(words[0])
         self.dispatcher.set_record(words[0], None, None, self.now)
 
     def _machine(self, words: list[str]) -> None:
-        """A machine that is up and on the roster."""
-        given = _fields(words[1:])
+        """Adds a machine that has sent its first report and, unless ``roster=no``, is on the roster."""
+        options = _fields(words[1:])
         if words[0] not in self.dispatcher.machines:
             self.dispatcher.cluster_state.add_machine(
-                words[0], given.get("type", "big"), given.get("zone", "a"), given.get("spot") == "yes", self.now,
+                words[0], options.get("type", "big"), options.get("zone", "a"), options.get("spot") == "yes", self.now,
                 MachineState.BOOTING,
             )  # fmt: skip
         self._report(
             [words[0], "seq=1", f"token={self.dispatcher.term}", *(w for w in words[1:] if not w.startswith("roster="))]
         )
-        if given.get("roster") != "no":
+        if options.get("roster") != "no":
             self.dispatcher.machines[words[0]].mark_rostered()
         self.dispatcher.place_tasks(self.now)
 
-    def _told(self, words: list[str]) -> None:
-        """Asked for its status, the machine has shown this report, and is told of the token directly."""
+    def _notified(self, words: list[str]) -> None:
+        """Notifies a machine of the token directly, after a probe for its status has returned this report."""
         self.dispatcher.notified_directly(self.dispatcher.machines[words[0]], self._read_report(words))
 
     def _report(self, words: list[str]) -> None:
-        """``report m1 seq=3 token=1 tasks=wk-1/0@1:running,wk-2/0@1:ended:done``"""
+        """Handles a report: ``report m1 seq=3 token=1 tasks=wk-1/0@1:running,wk-2/0@1:ended:done``."""
         report = self._read_report(words)
         self.refused, self.answer = "", None
         try:
@@ -193,26 +209,27 @@
         self.answer = self.dispatcher.take_commands(machine, report, self.now)
 
     def _read_report(self, words: list[str]) -> Report:
-        given = _fields(words[1:])
+        options = _fields(words[1:])
         tasks = []
-        for text in filter(None, given.get("tasks", "").split(",")):
+        for text in filter(None, options.get("tasks", "").split(",")):
             name, _, rest = text.partition("@")
             attempt, status, *cause = rest.split(":")
             tasks.append(TaskReport(name, int(attempt), TaskStatus(status), Cause(cause[0]) if cause else None))
         return Report(
             words[0],
             "10.0.0.9:1",
-            given.get("type", "big"),
-            given.get("zone", "a"),
-            int(given.get("session", 1)),
-            int(given["seq"]),
-            int(given.get("token", self.dispatcher.term)),
-            given.get("spot") == "yes",
-            float(given["notice"]) if "notice" in given else None,
+            options.get("type", "big"),
+            options.get("zone", "a"),
+            int(options.get("session", 1)),
+            int(options["seq"]),
+            int(options.get("token", self.dispatcher.term)),
+            options.get("spot") == "yes",
+            float(options["notice"]) if "notice" in options else None,
             msgspec.Raw(encode(tasks)),
         )
 
     def _returned(self, words: list[str]) -> None:
+        """Returns a machine to the cloud: ``returned m1``."""
         machine = self.dispatcher.machines[words[0]]
         machine.move(MachineState.RETURNING)
         self.dispatcher.machine_returned(machine, self.now)
@@ -220,48 +237,48 @@
 
     # -- expectations ---------------------------------------------------------
 
-    def _expect(self, what: str, words: list[str]) -> None:
-        if what == "answer":
-            got = [_show(command) for command in self.answer or []]
+    def _expect(self, subject: str, words: list[str]) -> None:
+        if subject == "answer":
+            commands = [_format_command(command) for command in self.answer or []]
             assert self.answer is not None, f"refused: {self.refused}"
-            assert got == words, f"answered {got}"
-        elif what == "refused":
+            assert commands == words, f"answered {commands}"
+        elif subject == "refused":
             assert self.refused == words[0], f"refused={self.refused!r}, answer={self.answer}"
-        elif what == "machine":
-            got_state = self.dispatcher.machines[words[0]].state.value
-            assert got_state == words[1], f"is {got_state}"
-        elif what == "on":
+        elif subject == "machine":
+            state = self.dispatcher.machines[words[0]].state.value
+            assert state == words[1], f"is {state}"
+        elif subject == "on":
             machine = self.dispatcher.machines[words[0]]
             tasks = sorted(f"{p.name}@{p.attempt}:{p.state.value}" for p in machine.live.values())
             assert tasks == words[1:], f"has {tasks}"
-        elif what == "finished":
+        elif subject == "finished":
             run = self.dispatcher.runs[words[0]]
             assert [str(n) for n in sorted(run.unrecorded)] == words[1:], f"has {sorted(run.unrecorded)}"
-        elif what == "wants-attempt":
-            asked = self.dispatcher.runs[words[0]].needs_attempt
-            assert asked == (words[1] == "yes"), f"is {asked}"
-        elif what == "rents":
-            wanted = fleet.plan_rentals(self.dispatcher.cluster_state, fleet.Refusals(), self.now)
-            rents = sorted(f"{name}={count}" for (name, *_), count in wanted.items())
+        elif subject == "needs-attempt":
+            needs_attempt = self.dispatcher.runs[words[0]].needs_attempt
+            assert needs_attempt == (words[1] == "yes"), f"is {needs_attempt}"
+        elif subject == "rents":
+            rentals = fleet.plan_rentals(self.dispatcher.cluster_state, fleet.Refusals(), self.now)
+            rents = sorted(f"{name}={count}" for (name, *_), count in rentals.items())
             assert rents == words, f"rents {rents}"
-        elif what == "hears":
-            got_state = self.dispatcher.machines[words[0]].delivery.state.value
-            assert got_state == words[1], f"is {got_state}"
-        elif what == "gives-back":
+        elif subject == "delivery":
+            state = self.dispatcher.machines[words[0]].delivery.state.value
+            assert state == words[1], f"is {state}"
+        elif subject == "returns":
             cluster_state = self.dispatcher.cluster_state
-            given = [
+            returns = [
                 machine.name
                 for machine in fleet.plan_returns(cluster_state, fleet.IdleHistory(), self.now, timedelta(minutes=5))
             ]
-            assert given == words, f"gives back {given}"
-        elif what == "no-machine":
+            assert returns == words, f"returns {returns}"
+        elif subject == "no-machine":
             assert words[0] not in self.dispatcher.machines
-        elif what == "unknown-job":
+        elif subject == "unknown-job":
             assert words[0] not in self.dispatcher.runs
         else:
-            raise ValueError(f"unknown expectation {what}")
+            raise ValueError(f"unknown expectation {subject}")
 
 
-def _show(command: Command) -> str:
+def _format_command(command: Command) -> str:
     grace = f":{command.grace_s:g}" if command.verb is Verb.STOP and command.grace_s is not None else ""
     return f"{command.verb.value}:{command.task}@{command.attempt}{grace}"
