--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Several hundred machines: what things cost is counted, not timed."""
+"""Cost of decisions with several hundred machines, measured in counts and not in time."""
 
 from datetime import timedelta
 
@@ -26,7 +26,7 @@
 from gingerspar.storage.records import Claimant, JobRecord, RosterRecord, TaskSet
 
 MACHINES = 500
-PER_MACHINE = 4
+TASKS_PER_MACHINE = 4
 NOW = timedelta(seconds=10)
 
 
@@ -35,22 +35,22 @@
 
 
 class Fleet:
-    """A leader with several hundred machines that are up."""
+    """A leader with several hundred machines that are ready."""
 
     def __init__(self, machines: int = MACHINES) -> None:
         self.now = NOW
         workers = WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43)
         self.dispatcher = Dispatcher(1, timedelta(0), workers, [TeamFacts("red")], nodes=3)
         self.dispatcher.set_types([MachineType("box", 16, 64, cache_gb=60, zones=("a",), price=1.0, boot_s=20)])
-        self.seqs: dict[str, int] = {}
+        self.sequence_numbers: dict[str, int] = {}
         for number in range(machines):
             name = f"n-{number:06d}"
             self.dispatcher.cluster_state.add_machine(name, "box", "a", False, NOW, MachineState.BOOTING)
             self.dispatcher.handle_report(_report(name, 1, []), NOW)
             self.dispatcher.machines[name].mark_rostered()
-            self.seqs[name] = 1
+            self.sequence_numbers[name] = 1
 
-    def job(
+    def add_job(
         self,
         number: int,
         tasks: int,
@@ -63,7 +63,7 @@
         self.dispatcher.set_record(spec.job, record, TaskSet(tasks), self.now)
 
     def place(self) -> int:
-        """Machines looked at until everything has been looked at."""
+        """Places all work that fits, and returns the number of machine checks that it took."""
         before = self.dispatcher.pool.looked_at
         for _ in range(1000):
             self.dispatcher.place_tasks(self.now)
@@ -71,91 +71,93 @@
                 break
         return self.dispatcher.pool.looked_at - before
 
-    def answer(self, machine: Machine, tasks: list[TaskReport]) -> None:
-        self.seqs[machine.name] += 1
-        report = _report(machine.name, self.seqs[machine.name], tasks)
+    def report_tasks(self, machine: Machine, tasks: list[TaskReport]) -> None:
+        """Sends the next report of the machine and takes the commands for it."""
+        self.sequence_numbers[machine.name] += 1
+        report = _report(machine.name, self.sequence_numbers[machine.name], tasks)
         self.dispatcher.take_commands(self.dispatcher.handle_report(report, self.now), report, self.now)
 
-    def end_one(self, machine: Machine) -> None:
+    def end_first_task(self, machine: Machine) -> None:
         """The machine reports that the first of its tasks is done."""
-        self.answer(machine, [])
+        self.report_tasks(machine, [])
         live = list(machine.live.values())
         tasks = [TaskReport(p.name, p.attempt, TaskStatus.RUNNING) for p in live[1:]]
-        self.answer(machine, [TaskReport(live[0].name, 1, TaskStatus.EXITED, Cause.DONE), *tasks])
+        self.report_tasks(machine, [TaskReport(live[0].name, 1, TaskStatus.EXITED, Cause.DONE), *tasks])
 
 
-def test_a_pass_looks_only_at_what_has_changed() -> None:
-    """Grown deployments, before: every pass compared every machine with every open task."""
+def test_pass_checks_only_changed_machines() -> None:
+    """On grown deployments every pass used to compare every machine with every open task."""
     fleet = Fleet()
-    fleet.job(1, MACHINES * PER_MACHINE)
+    fleet.add_job(1, MACHINES * TASKS_PER_MACHINE)
     assert fleet.place() <= 2 * MACHINES
     assert all(
         machine.tasks_that_fit(fleet.dispatcher.runs["wk-000001"].spec) == 0 for machine in fleet.dispatcher.pool
     )
     waiting = 200
     for number in range(2, 2 + waiting):
-        fleet.job(number, 10)
-    # Nothing has room: full machines are passed over without a look.
+        fleet.add_job(number, 10)
+    # No machine has free capacity: full machines are skipped without a check.
     assert fleet.place() == 0
     assert fleet.place() == 0
     machine = fleet.dispatcher.machines["n-000007"]
-    fleet.end_one(machine)
-    # One machine has gained room for one task; each waiting run looks at it, and no other.
+    fleet.end_first_task(machine)
+    # One machine has gained capacity for one task; each waiting run checks this machine only.
     assert fleet.place() <= 2 * waiting
-    assert len(machine.live) == PER_MACHINE
+    assert len(machine.live) == TASKS_PER_MACHINE
     assert len(fleet.dispatcher.runs["wk-000002"].places) == 1
 
 
 def test_waiting_gangs_share_one_search() -> None:
     fleet = Fleet()
-    fleet.job(1, MACHINES * PER_MACHINE - 2)
+    fleet.add_job(1, MACHINES * TASKS_PER_MACHINE - 2)
     fleet.place()
     for number in range(2, 102):
-        fleet.job(number, 3, Shape.GANG)
-    # All machines once, when the kind of task is seen for the first time; then none for each gang.
+        fleet.add_job(number, 3, Shape.GANG)
+    # Each machine is checked once, for the first gang with this kind of task; the other gangs check none.
     assert fleet.place() <= MACHINES + 2 * 100
     assert all(not fleet.dispatcher.runs[f"wk-{number:06d}"].places for number in range(2, 102))
 
 
-def _looks(machines: int, gangs: int, arrays: int, seconds: int = 6) -> int:
-    """Looks of some seconds in which urgent gangs and routine arrays wait on a full fleet.
+def _machine_checks(machines: int, gangs: int, arrays: int, seconds: int = 6) -> int:
+    """Returns the machine checks of some seconds in which urgent gangs and routine arrays wait for a full fleet.
 
-    Every half second one urgent task ends. The gangs don't fit even if all that is less
-    urgent were stopped, so each of them keeps asking for room.
+    Every half second one urgent task ends. The gangs would not fit even if all less urgent tasks were preempted, so
+    each of them searches for capacity again and again.
     """
     fleet = Fleet(machines)
-    fleet.job(1, machines * PER_MACHINE, priority=Priority.HIGH)
+    fleet.add_job(1, machines * TASKS_PER_MACHINE, priority=Priority.HIGH)
     fleet.place()
     for number in range(2, 2 + gangs):
-        fleet.job(number, 12, Shape.GANG, cpus=16.0, priority=Priority.HIGH)
+        fleet.add_job(number, 12, Shape.GANG, cpus=16.0, priority=Priority.HIGH)
     for number in range(2 + gangs, 2 + gangs + arrays):
-        fleet.job(number, 20, cpus=4.0 + number % 7 / 10)
-    looks = 0
+        fleet.add_job(number, 20, cpus=4.0 + number % 7 / 10)
+    checks = 0
     for step in range(seconds * 10):
         fleet.now += timedelta(seconds=0.1)
         if step % 5 == 0:
-            fleet.end_one(fleet.dispatcher.machines[f"n-{step % machines:06d}"])
+            fleet.end_first_task(fleet.dispatcher.machines[f"n-{step % machines:06d}"])
         fleet.dispatcher.needs_placement = True
-        looks += fleet.place()
+        checks += fleet.place()
     assert sum(bool(run.places) for run in fleet.dispatcher.runs.values()) <= 1 + seconds * 2
-    return looks
+    return checks
 
 
-def test_looks_do_not_grow_with_gangs_times_machines() -> None:
-    """Fleet deployments, before: each waiting gang went through every machine once a second."""
-    base = _looks(150, 75, 60)
-    first = 600 - 150  # each machine is looked at once when a kind of task is seen for the first time
-    assert _looks(600, 75, 60) <= base + first + 50
-    assert _looks(150, 300, 60) <= base * 2
-    assert _looks(150, 75, 240) <= base * 2
-    assert _looks(600, 300, 240) <= base * 2 + first + 50
+def test_machine_checks_do_not_grow_with_gangs_times_machines() -> None:
+    """On fleet deployments each waiting gang used to check every machine once a second."""
+    base = _machine_checks(150, 75, 60)
+    # Each additional machine is checked once when a kind of task is placed for the first time.
+    first_checks = 600 - 150
+    assert _machine_checks(600, 75, 60) <= base + first_checks + 50
+    assert _machine_checks(150, 300, 60) <= base * 2
+    assert _machine_checks(150, 75, 240) <= base * 2
+    assert _machine_checks(600, 300, 240) <= base * 2 + first_checks + 50
 
 
-def test_a_long_pass_stops_and_goes_on_in_order() -> None:
+def test_long_pass_is_split_and_continues_in_order() -> None:
     fleet = Fleet()
     jobs = 3 * placer.MAX_MACHINE_CHECKS // MACHINES
     for number in range(1, jobs + 1):
-        fleet.job(number, 1)
+        fleet.add_job(number, 1)
     fleet.dispatcher.place_tasks(NOW)
     assert fleet.dispatcher.needs_placement
     placed = [number for number in range(1, jobs + 1) if fleet.dispatcher.runs[f"wk-{number:06d}"].places]
@@ -164,8 +166,8 @@
     assert all(run.places for run in fleet.dispatcher.runs.values())
 
 
-def test_the_roster_of_a_whole_fleet_takes_few_values() -> None:
-    """One key for each machine made a fleet that boots at once wait behind the write budget."""
+def test_roster_of_a_large_fleet_takes_few_keys() -> None:
+    """With one key for each machine, a fleet that booted all at once had to wait for the write budget."""
     new = [(f"n-{number:06d}", ("box", "a", number % 2 == 0)) for number in range(1000)]
     groups = plan_groups({}, new, set(), 8192)
     assert len(groups) <= 4
@@ -173,7 +175,7 @@
     assert sorted(name for group in groups.values() for name in group.names) == [name for name, _ in new]
 
 
-def test_the_roster_changes_only_the_groups_concerned() -> None:
+def test_roster_update_changes_only_affected_groups() -> None:
     groups = {
         "gs/r/0000": RosterRecord("box", "a", False, ("n-1", "n-2")),
         "gs/r/0001": RosterRecord("box", "a", True, ("n-3",)),
@@ -183,7 +185,7 @@
     assert plan_groups(groups, [], {"n-9"}, 8192) == {}
 
 
-def test_machines_are_filed_by_state_and_room() -> None:
+def test_pool_finds_machines_by_state_and_free_capacity() -> None:
     fleet = Fleet()
     pool = fleet.dispatcher.pool
     spec = JobSpec("wk-000001", "c", "red", Shape.ARRAY, Priority.NORMAL, 1, 16.0, 8.0)
@@ -197,20 +199,25 @@
     assert pool.in_states(MachineState.LOST) == [machine]
 
 
-def test_machines_lost_by_the_hundred() -> None:
-    """They lose the network together, and come back with their leases over while others do their work."""
+def test_many_machines_lost_at_once() -> None:
+    """110 machines lose the network together and report again after their leases have ended.
+
+    By then their tasks are placed on other machines.
+    """
     fleet = Fleet()
-    fleet.job(1, 2 * MACHINES)
+    fleet.add_job(1, 2 * MACHINES)
     fleet.place()
     machines = list(fleet.dispatcher.machines.values())
     silent, others = machines[:110], machines[110:]
     for second in (0, 8, 16, 24):
         fleet.now = NOW + timedelta(seconds=second)
         for machine in others:
-            fleet.answer(machine, [TaskReport(p.name, p.attempt, TaskStatus.RUNNING) for p in machine.live.values()])
+            fleet.report_tasks(
+                machine, [TaskReport(p.name, p.attempt, TaskStatus.RUNNING) for p in machine.live.values()]
+            )
         fleet.dispatcher.tick(fleet.now, fleet.now)
     assert fleet.dispatcher.pool.in_states(MachineState.LOST) == silent
-    # One look at each machine finds all the room there is; nothing is sent before the leases are over.
+    # One check of each machine finds all free capacity. No task is placed again before the leases have ended.
     assert fleet.place() <= 2 * MACHINES
     assert not fleet.dispatcher.runs["wk-000001"].open
     assert all(not machine.live for machine in silent)
@@ -222,15 +229,15 @@
     assert fleet.place() <= MACHINES
 
 
-def test_what_comes_free_follows_every_task() -> None:
-    """Kept in order as tasks start and leave, it has to say what going through all of them would."""
+def test_expected_releases_follow_every_task() -> None:
+    """The expected releases are updated as tasks start and end; they must equal the sum over all running tasks."""
     fleet = Fleet(40)
     cluster_state = fleet.dispatcher.cluster_state
     for number in range(1, 9):
-        fleet.job(number, 15 + number, cpus=3.0 + number / 4)
+        fleet.add_job(number, 15 + number, cpus=3.0 + number / 4)
     fleet.place()
     machines = list(fleet.dispatcher.machines.values())
-    spans = RunTimes(cluster_state.estimates.run_time)
+    run_times = RunTimes(cluster_state.estimates.run_time)
     for step, machine in enumerate(machines * 3):
         fleet.now += timedelta(seconds=0.7)
         if machine.state is not MachineState.READY:
@@ -239,49 +246,49 @@
             fleet.dispatcher.machine_lost(machine, "test", fleet.now)
         else:
             if not any(p.running_since is not None for p in machine.live.values()):
-                fleet.answer(machine, [])
+                fleet.report_tasks(machine, [])
             running = [TaskReport(p.name, p.attempt, TaskStatus.RUNNING) for p in machine.live.values()]
             if running and step % 3 == 2:
                 running[0] = TaskReport(running[0].task, running[0].attempt, TaskStatus.EXITED, Cause.DONE)
-            fleet.answer(machine, running)
+            fleet.report_tasks(machine, running)
         fleet.place()
         if step % 10 == 0:
             by = fleet.now + timedelta(seconds=step % 70)
             live = [p for m in machines for p in m.live.values() if p.running_since is not None]
-            expected = sum(p.spec.cpus for p in live if p.running_since + spans.of(p.spec) <= by)
+            expected = sum(p.spec.cpus for p in live if p.running_since + run_times.of(p.spec) <= by)
             found = sum(
-                cluster_state.expected_releases.released(offer, by, spans).cpus
+                cluster_state.expected_releases.released(offer, by, run_times).cpus
                 for offer in cluster_state.expected_releases.offers()
             )
             assert abs(found - expected) < 1e-6
             assert live
 
 
-def test_a_finish_that_stays_listed_is_taken_in_once() -> None:
-    """vatuloa-grep-fleet loss: until its record showed it, each finish was gone through again with each report."""
+def test_finish_that_stays_listed_is_processed_once() -> None:
+    """vatuloa-grep-fleet loss: until the job's record showed a finish, each report had it processed again."""
     fleet = Fleet(1)
     machine = next(iter(fleet.dispatcher.machines.values()))
-    fleet.job(1, 4)
+    fleet.add_job(1, 4)
     fleet.place()
-    fleet.answer(machine, [])
-    taken: list[int] = []
+    fleet.report_tasks(machine, [])
+    processed: list[int] = []
     done = fleet.dispatcher.cluster_state.task_done
-    fleet.dispatcher.cluster_state.task_done = lambda run, number: bool(taken.append(number)) or done(run, number)  # type: ignore
+    fleet.dispatcher.cluster_state.task_done = lambda run, number: bool(processed.append(number)) or done(run, number)  # type: ignore
     listed = [TaskReport("wk-000001/0", 1, TaskStatus.EXITED, Cause.DONE)]
     for number in (1, 2, 3):
-        fleet.answer(machine, [*listed, TaskReport(f"wk-000001/{number}", 1, TaskStatus.RUNNING)])
+        fleet.report_tasks(machine, [*listed, TaskReport(f"wk-000001/{number}", 1, TaskStatus.RUNNING)])
         assert machine.exited_placements == {("wk-000001", 0, 1): Cause.DONE}
-    assert taken == [0, 0]  # when its placement ended, and when it was found listed
+    assert processed == [0, 0]  # once when its placement ended and once when it was first found listed
 
 
-def test_a_finish_of_a_job_without_a_record_counts_once_the_record_is_there() -> None:
-    """A new leader finds it among what an older one started; its record comes a moment later."""
+def test_finish_of_a_job_without_a_record_counts_once_the_record_is_known() -> None:
+    """A new leader finds a finished task that an older leader started, and receives the job's record a moment later."""
     fleet = Fleet(1)
     machine = next(iter(fleet.dispatcher.machines.values()))
     done = TaskReport("wk-000001/0", 1, TaskStatus.EXITED, Cause.DONE)
     others = [TaskReport(f"wk-000001/{number}", 1, TaskStatus.RUNNING) for number in (1, 2, 3)]
     for seq, listed in enumerate([others[:1], [done, *others[:1]], [done, *others]], start=2):
         if seq == 4:
-            fleet.job(1, 4)
+            fleet.add_job(1, 4)
         fleet.dispatcher.handle_report(_report(machine.name, seq, listed), fleet.now)
     assert 0 in fleet.dispatcher.runs["wk-000001"].finished
--- a/tests/test_start_deadline.py
+++ b/tests/test_start_deadline.py
@@ -1,4 +1,7 @@
-"""Each job begins in time, the largest too: on a full fleet, behind priorities, floods and deadlines."""
+"""Each job starts in time, including the largest ones.
+
+The fleet is full, and more urgent work, floods of jobs and jobs with deadlines compete for it.
+"""
 
 from datetime import timedelta
 
@@ -12,13 +15,13 @@
 from gingerspar.storage.records import Claimant, JobRecord, TaskSet
 
 MACHINES = 12
-FOUR_MINUTES = 240.0
+START_LIMIT_S = 240.0
 
 
-class Rush:
-    """A fleet of machines of 16 processors that is asked for three times what it can do.
+class OverloadedFleet:
+    """A fleet of machines with 16 processors and three times as much work as it can do.
 
-    Every second an urgent gang of two comes that takes a machine each for 30 s.
+    Every second an urgent gang of two tasks is submitted; each task takes a whole machine for 30 s.
     """
 
     def __init__(self) -> None:
@@ -33,9 +36,9 @@
             )
             machine.mark_rostered()
         self.ends: list[tuple[float, str, int]] = []
-        self.began: dict[str, float] = {}
+        self.started_at: dict[str, float] = {}
 
-    def come(self, jobclass: str, shape: Shape, priority: Priority, tasks: int, cpus: float, run_s: float) -> str:
+    def submit(self, jobclass: str, shape: Shape, priority: Priority, tasks: int, cpus: float, run_s: float) -> str:
         self.jobs += 1
         job = f"wk-{self.jobs:06d}"
         team = "guests" if jobclass.startswith("guest") else "red"
@@ -44,17 +47,17 @@
         self.dispatcher.set_record(job, record, TaskSet(tasks), timedelta(seconds=self.now))
         return job
 
-    def load(self) -> None:
-        self.come("urgent", Shape.GANG, Priority.HIGH, 2, 16.0, 30.0)
+    def submit_urgent_gang(self) -> None:
+        self.submit("urgent", Shape.GANG, Priority.HIGH, 2, 16.0, 30.0)
 
-    def second(self) -> None:
-        """Each task runs as long as was said, from the moment it has its place."""
+    def run_second(self) -> None:
+        """Runs one second; each task runs for its estimate, from the moment at which it is placed."""
         now, cluster_state = timedelta(seconds=self.now), self.dispatcher.cluster_state
         for run in list(self.dispatcher.runs.values()):
             for placement in run.live:
                 if placement.state is TaskState.PLANNED:
                     cluster_state.move_task(placement, TaskState.RUNNING, now)
-                    self.began.setdefault(placement.job, self.now)
+                    self.started_at.setdefault(placement.job, self.now)
                 elif placement.stop_grace is not None:
                     cluster_state.task_gone(placement, now)
                 elif now - (placement.running_since or now) >= placement.spec.estimate:
@@ -68,13 +71,13 @@
                 break
         self.now += 1.0
 
-    def play(self, seconds: int) -> None:
+    def run(self, seconds: int) -> None:
         for _ in range(seconds):
-            self.load()
-            self.second()
+            self.submit_urgent_gang()
+            self.run_second()
 
 
-LARGE = {
+LARGE_JOBS = {
     "a gang of half the fleet": ("whole", Shape.GANG, Priority.LOW, MACHINES // 2, 16.0, 20.0),
     "the largest gang of its class": ("urgent", Shape.GANG, Priority.HIGH, 8, 16.0, 30.0),
     "an array of thousands in the lowest priority": ("bulk", Shape.ARRAY, Priority.LOW, 5000, 1.0, 20.0),
@@ -83,28 +86,28 @@
 }
 
 
-@pytest.mark.parametrize("what", LARGE)
-def test_it_begins_within_four_minutes(what: str) -> None:
-    rush = Rush()
-    rush.play(60)
-    came, job = rush.now, rush.come(*LARGE[what])
-    rush.play(240)
-    assert job in rush.began, "it has not begun"
-    assert rush.began[job] - came <= FOUR_MINUTES
-
-
-def test_only_the_first_task_of_an_array_goes_before_others() -> None:
-    rush = Rush()
-    rush.play(60)
-    came, job = rush.now, rush.come(*LARGE["an array of thousands in the lowest priority"])
-    rush.play(int(START_PRIORITY_AFTER.total_seconds()) + 10)
-    run = rush.dispatcher.runs[job]
-    assert rush.began[job] - came >= START_PRIORITY_AFTER.total_seconds()
-    # The machine has room for more that no gang can use; of these none is kept from what is more urgent.
+@pytest.mark.parametrize("case", LARGE_JOBS)
+def test_large_job_starts_within_four_minutes(case: str) -> None:
+    fleet = OverloadedFleet()
+    fleet.run(60)
+    submitted_at, job = fleet.now, fleet.submit(*LARGE_JOBS[case])
+    fleet.run(240)
+    assert job in fleet.started_at, "the job has not started"
+    assert fleet.started_at[job] - submitted_at <= START_LIMIT_S
+
+
+def test_only_the_first_task_of_an_overdue_array_is_protected() -> None:
+    fleet = OverloadedFleet()
+    fleet.run(60)
+    submitted_at, job = fleet.now, fleet.submit(*LARGE_JOBS["an array of thousands in the lowest priority"])
+    fleet.run(int(START_PRIORITY_AFTER.total_seconds()) + 10)
+    run = fleet.dispatcher.runs[job]
+    assert fleet.started_at[job] - submitted_at >= START_PRIORITY_AFTER.total_seconds()
+    # The machine has capacity for more tasks that no gang can use. None of these tasks is protected from preemption.
     assert [placement.number for placement in run.live if placement.protected] == [0]
 
 
-def test_the_largest_of_a_class_are_its_top_tenth_by_tasks_and_by_work() -> None:
+def test_largest_jobs_are_the_top_tenth_of_a_class_by_tasks_and_by_work() -> None:
     largest = LargestJobs()
     specs = [
         JobSpec(f"wk-{n:06d}", "c", "red", Shape.GANG, Priority.HIGH, n + 1, 1.0, 1.0, estimate_s=10.0)
@@ -115,73 +118,73 @@
         largest.add(spec)
     assert [spec.tasks for spec in specs if largest.contains(spec)] == [18, 19]
     assert largest.contains(long)
-    alone = JobSpec("wk-000100", "d", "red", Shape.GANG, Priority.HIGH, 1, 1.0, 1.0)
-    largest.add(alone)
-    assert largest.contains(alone)
+    only_job = JobSpec("wk-000100", "d", "red", Shape.GANG, Priority.HIGH, 1, 1.0, 1.0)
+    largest.add(only_job)
+    assert largest.contains(only_job)
 
 
-def test_a_finish_that_no_record_shows_yet_is_a_beginning() -> None:
-    """flood-and-crash-kerlann: results queued behind a flood, and to the next leader jobs had not begun that had."""
-    rush = Rush()
-    job = rush.come("bulk", Shape.ARRAY, Priority.LOW, 50, 1.0, 20.0)
-    run = rush.dispatcher.runs[job]
+def test_unrecorded_finish_counts_as_a_start() -> None:
+    """flood-and-crash-kerlann: results queued behind a flood, so the next leader took started jobs as not started."""
+    fleet = OverloadedFleet()
+    job = fleet.submit("bulk", Shape.ARRAY, Priority.LOW, 50, 1.0, 20.0)
+    run = fleet.dispatcher.runs[job]
     assert not run.has_started
-    rush.dispatcher.cluster_state.task_done(run, 0)
+    fleet.dispatcher.cluster_state.task_done(run, 0)
     assert run.has_started
-    assert not rush.dispatcher.cluster_state.is_start_overdue(run, timedelta(seconds=200))
-
-
-def test_the_place_that_comes_free_first_is_kept() -> None:
-    """A machine on which one short task ends goes before one on which all long ones have to."""
-    rush = Rush()
-    pool, now = rush.dispatcher.pool, timedelta(seconds=1)
-    long = rush.come("long", Shape.ARRAY, Priority.NORMAL, 4 * MACHINES - 1, 4.0, 500.0)
-    rush.second()
-    short = rush.come("short", Shape.ARRAY, Priority.NORMAL, 1, 4.0, 10.0)
-    rush.second()
-    (placement,) = rush.dispatcher.runs[short].live
-    spec = rush.dispatcher.runs[long].spec
+    assert not fleet.dispatcher.cluster_state.is_start_overdue(run, timedelta(seconds=200))
+
+
+def test_machine_that_is_available_first_is_chosen() -> None:
+    """A machine on which one short task has to end comes before machines on which only long tasks run."""
+    fleet = OverloadedFleet()
+    pool, now = fleet.dispatcher.pool, timedelta(seconds=1)
+    long = fleet.submit("long", Shape.ARRAY, Priority.NORMAL, 4 * MACHINES - 1, 4.0, 500.0)
+    fleet.run_second()
+    short = fleet.submit("short", Shape.ARRAY, Priority.NORMAL, 1, 4.0, 10.0)
+    fleet.run_second()
+    (placement,) = fleet.dispatcher.runs[short].live
+    spec = fleet.dispatcher.runs[long].spec
     assert pool.earliest_available(spec, (), now) == [placement.machine]
     assert pool.earliest_available(spec, (placement.machine,), now) != [placement.machine]
 
 
-def test_lagging_classes_leave_something_for_first_tasks() -> None:
-    rush = Rush()
-    levels = rush.dispatcher.cluster_state.service_levels
-    job = rush.come("bulk", Shape.ARRAY, Priority.LOW, 50, 1.0, 20.0)
-    run = rush.dispatcher.runs[job]
-    levels.total_weight, levels.used_weight = 100.0, 20.0  # what a lagging class has used up
+def test_lagging_classes_leave_capacity_for_first_tasks() -> None:
+    fleet = OverloadedFleet()
+    levels = fleet.dispatcher.cluster_state.service_levels
+    job = fleet.submit("bulk", Shape.ARRAY, Priority.LOW, 50, 1.0, 20.0)
+    run = fleet.dispatcher.runs[job]
+    levels.total_weight, levels.used_weight = 100.0, 20.0  # a lagging class has used up its share
     assert (levels.remaining_tasks(run), levels.remaining_tasks(run, to_begin=True)) == (0, 5)
-    assert rush.dispatcher.cluster_state.is_start_overdue(run, START_PRIORITY_AFTER)
+    assert fleet.dispatcher.cluster_state.is_start_overdue(run, START_PRIORITY_AFTER)
     levels.used_weight = 25.0
-    assert not rush.dispatcher.cluster_state.is_start_overdue(run, START_PRIORITY_AFTER)
+    assert not fleet.dispatcher.cluster_state.is_start_overdue(run, START_PRIORITY_AFTER)
 
 
-def test_what_it_kept_is_given_up_once_it_has_begun() -> None:
-    """Room that comes free elsewhere first: the place that was kept for the first task used to stay kept."""
-    rush = Rush()
-    rush.play(60)
-    job = rush.come("bulk", Shape.ARRAY, Priority.LOW, 50, 16.0, 20.0)
-    run = rush.dispatcher.runs[job]
-    kept = 0
+def test_reservation_is_released_once_the_job_has_started() -> None:
+    """If another machine became free first, the slot reserved for the first task used to stay reserved."""
+    fleet = OverloadedFleet()
+    fleet.run(60)
+    job = fleet.submit("bulk", Shape.ARRAY, Priority.LOW, 50, 16.0, 20.0)
+    run = fleet.dispatcher.runs[job]
+    max_reserved = 0
     for _ in range(200):
-        rush.play(1)
-        kept = max(kept, len(run.reserved))
+        fleet.run(1)
+        max_reserved = max(max_reserved, len(run.reserved))
         if run.has_started:
             break
-    assert (run.has_started, kept) == (True, 1)
+    assert (run.has_started, max_reserved) == (True, 1)
     assert not run.reserved
-    # The same where it finds its place among machines that gained room, not where it kept one.
-    other = rush.come("bulk", Shape.ARRAY, Priority.LOW, 50, 16.0, 20.0)
-    late, cluster_state, now = (
-        rush.dispatcher.runs[other],
-        rush.dispatcher.cluster_state,
-        timedelta(seconds=rush.now + 200),
+    # The reservation is also released if the task is placed on a machine that gained capacity, not on the reserved one.
+    other = fleet.submit("bulk", Shape.ARRAY, Priority.LOW, 50, 16.0, 20.0)
+    overdue_run, cluster_state, now = (
+        fleet.dispatcher.runs[other],
+        fleet.dispatcher.cluster_state,
+        timedelta(seconds=fleet.now + 200),
     )
-    first, second = list(rush.dispatcher.machines.values())[:2]
-    cluster_state.reserve(late, {first: 1}, now)
+    first, second = list(fleet.dispatcher.machines.values())[:2]
+    cluster_state.reserve(overdue_run, {first: 1}, now)
     for placement in list(second.live.values()):
         cluster_state.task_exited(placement, now)
-    rush.dispatcher._placer._place_tasks(late, [second], 1, now, start_overdue=True)
-    assert [placement.machine for placement in late.live] == [second]
-    assert not late.reserved
+    fleet.dispatcher._placer._place_tasks(overdue_run, [second], 1, now, start_overdue=True)
+    assert [placement.machine for placement in overdue_run.live] == [second]
+    assert not overdue_run.reserved
