--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What a node that has given up the term still does as a claimant."""
+"""Claims of a node that has resigned as leader."""
 
 from typing import Any
 
@@ -9,8 +9,8 @@
 from tests.standins.cluster import Cluster, job
 
 
-def test_a_claim_made_after_resigning_is_handed_to_nobody() -> None:
-    """Hunt on kerlann-fonts-grown: the record still named this node, and it spoke to itself and ended."""
+def test_claim_made_after_resigning_is_not_sent_to_the_node_itself() -> None:
+    """kerlann-fonts-grown hunt: the term record still named this node, so it sent the claim to itself and ended."""
     controller = Controller(parse_settings(Cluster().settings("n0")), OperatorSettings())
     controller._view.term = (TermRecord(3, "n0", 7), 9)
     sent: list[Any] = []
--- a/tests/test_leader_runtime.py
+++ b/tests/test_leader_runtime.py
@@ -1,4 +1,4 @@
-"""The term leader's dealings with the cloud while it may be cut off."""
+"""The leader runtime: cloud requests of a leader that may be partitioned, overload detection, held answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -69,8 +69,8 @@
 WORKERS = WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43)
 
 
-async def _orders(age: list[timedelta]) -> _Cloud:
-    """Asks for a return and a rental while the last read of the state is ``age`` old."""
+async def _request_return_and_rental(age: list[timedelta]) -> _Cloud:
+    """Requests a return and a rental while the last read of the state service is ``age`` old."""
     cloud = _Cloud()
     dispatcher = Dispatcher(1, timedelta(0), WORKERS, [])
     machine = dispatcher.cluster_state.add_machine("n-1", "big", "a", False, timedelta(0), MachineState.LOST)
@@ -84,19 +84,19 @@
     return cloud
 
 
-def test_a_leader_that_may_be_cut_off_orders_nothing() -> None:
-    """Found by bench/days/sick-and-cut: returns held by a cut took all machines minutes later."""
-    cloud = asyncio.run(_orders([timedelta(seconds=5)]))
+def test_leader_that_may_be_partitioned_requests_nothing() -> None:
+    """Found by bench/days/sick-and-cut: returns delayed by a partition took all machines minutes later."""
+    cloud = asyncio.run(_request_return_and_rental([timedelta(seconds=5)]))
     assert (cloud.returned, cloud.rented) == ([], 0)
 
 
-def test_a_leader_with_fresh_state_orders() -> None:
-    cloud = asyncio.run(_orders([timedelta(seconds=0.1)]))
+def test_leader_with_fresh_state_sends_requests() -> None:
+    cloud = asyncio.run(_request_return_and_rental([timedelta(seconds=0.1)]))
     assert (cloud.returned, cloud.rented) == (["n-1"], 1)
 
 
-async def _listed_as_failed() -> Dispatcher:
-    """The cloud lists three machines as failed; one of them has reported in this term."""
+async def _dispatcher_after_failed_list() -> Dispatcher:
+    """Returns a dispatcher after the cloud has listed three machines as failed; one has reported in this term."""
     dispatcher = Dispatcher(
         2, timedelta(0), WORKERS, [], roster=[("n-1", "big", "a", False), ("n-2", "big", "a", False)]
     )
@@ -114,18 +114,18 @@
     return dispatcher
 
 
-def test_the_list_of_failed_machines_is_not_believed_about_one_that_has_reported() -> None:
-    """Lists are late and go back in time; a machine may have failed and be back with new work."""
-    states = {name: machine.state for name, machine in asyncio.run(_listed_as_failed()).machines.items()}
+def test_machine_that_has_reported_is_not_lost_when_listed_as_failed() -> None:
+    """The cloud's lists lag and may go back in time; a machine may have failed, restarted and been given new tasks."""
+    states = {name: machine.state for name, machine in asyncio.run(_dispatcher_after_failed_list()).machines.items()}
     assert states == {"n-1": MachineState.READY, "n-2": MachineState.LOST, "n-3": MachineState.LOST}
 
 
-async def _order_after_standing_still() -> int:
-    """An order waits for its turn at the cloud while its sender loses the right to give it."""
-    asked: list[str] = []
+async def _requests_after_pause() -> int:
+    """Returns how many requests reach the cloud if a waiting rental loses its permission and a second one keeps it."""
+    received: list[str] = []
 
     async def answer(request: Request) -> Answer:
-        asked.append(request.path)
+        received.append(request.path)
         return Answer(200, b'{"Hosts":["n-2"]}')
 
     server = Server(answer)
@@ -133,43 +133,43 @@
     try:
         cloud = CloudClient("127.0.0.1:18931", Clock(), rps=20.0)
         cloud._budget.block(timedelta(seconds=0.1))
-        entitled = [True]
-        order = asyncio.ensure_future(cloud.rent(RentRequest("t1-1", "big", "a", False, 1), lambda: entitled[0]))
+        permitted = [True]
+        rental = asyncio.ensure_future(cloud.rent(RentRequest("t1-1", "big", "a", False, 1), lambda: permitted[0]))
         await asyncio.sleep(0.02)
-        entitled[0] = False  # it stood still, and when it goes on another node holds the term
+        permitted[0] = False  # it was paused, and by now another node holds the term
         try:
-            await order
+            await rental
         except NotPermitted:
             pass
         else:
-            raise AssertionError("the order was given")
-        entitled[0] = True
-        assert await cloud.rent(RentRequest("t1-2", "big", "a", False, 1), lambda: entitled[0]) == ["n-2"]
+            raise AssertionError("the rental was sent")
+        permitted[0] = True
+        assert await cloud.rent(RentRequest("t1-2", "big", "a", False, 1), lambda: permitted[0]) == ["n-2"]
     finally:
         server.stop()
         await asyncio.sleep(0)
-    return len(asked)
+    return len(received)
 
 
-def test_an_order_is_checked_when_it_leaves() -> None:
-    """A controller that stands still between its decision and the sending must not order any more."""
-    assert asyncio.run(_order_after_standing_still()) == 1
+def test_permission_is_checked_when_a_request_is_sent() -> None:
+    """A controller that is paused between its decision and the sending must not send the request any more."""
+    assert asyncio.run(_requests_after_pause()) == 1
 
 
-def test_overload_is_entered_and_left_once() -> None:
+def test_overload_starts_and_ends_once() -> None:
     load_monitor = LoadMonitor(Clock())
     now = timedelta(0)
-    seen = [load_monitor.state]
+    states = [load_monitor.state]
     for late_ms in [5] * 20 + [300] * 20 + [60] * 20 + [5] * 60:
         now += timedelta(seconds=0.1)
         load_monitor.record_lateness(timedelta(milliseconds=late_ms), now)
-        if load_monitor.state is not seen[-1]:
-            seen.append(load_monitor.state)
-    assert seen == [LoadState.NORMAL, LoadState.OVERLOADED, LoadState.NORMAL]
+        if load_monitor.state is not states[-1]:
+            states.append(load_monitor.state)
+    assert states == [LoadState.NORMAL, LoadState.OVERLOADED, LoadState.NORMAL]
 
 
-def test_standing_still_once_is_no_overload() -> None:
-    """Its clocks ran on for 24 s; afterwards it has as much of its processor as before."""
+def test_single_pause_is_no_overload() -> None:
+    """The clocks of the paused controller ran on for 24 s; afterwards it has as much processor time as before."""
     load_monitor = LoadMonitor(Clock())
     load_monitor.record_lateness(timedelta(seconds=24), timedelta(seconds=24))
     assert load_monitor.state is LoadState.NORMAL
@@ -178,28 +178,30 @@
     assert load_monitor.lateness < timedelta(milliseconds=10)
 
 
-def test_deciding_takes_a_smaller_share_under_overload() -> None:
+def test_placement_gets_a_smaller_share_under_overload() -> None:
     load_monitor = LoadMonitor(Clock())
-    spent, least = timedelta(milliseconds=30), timedelta(milliseconds=20)
-    easy = load_monitor.pause_for_share(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least)
+    spent, min_pause = timedelta(milliseconds=30), timedelta(milliseconds=20)
+    normal = load_monitor.pause_for_share(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, min_pause)
     load_monitor.state = LoadState.OVERLOADED
-    hard = load_monitor.pause_for_share(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least)
-    assert (easy, hard) == (spent, spent * 3)
+    overloaded = load_monitor.pause_for_share(spent, {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, min_pause)
+    assert (normal, overloaded) == (spent, spent * 3)
     assert (
-        load_monitor.pause_for_share(timedelta(0), {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, least) == least
+        load_monitor.pause_for_share(timedelta(0), {LoadState.NORMAL: 0.5, LoadState.OVERLOADED: 0.25}, min_pause)
+        == min_pause
     )
 
 
-def test_two_held_answers_and_a_lost_one_fit_into_a_lease() -> None:
+def test_lease_allows_two_held_answers_and_a_lost_one() -> None:
     for lease in (4.0, 6.0, 10.0, 18.0):
         for report in (0.3, 1.0, 2.5):
             workers = WorkerFacts(report_s=report, lease_s=lease, cancel_s=3 * lease)
             assert max_hold_duration(workers) * 4 + timedelta(seconds=1.25 * report) <= timedelta(seconds=lease)
-    assert max_hold_duration(WorkerFacts(report_s=2.5, lease_s=16, cancel_s=36)) == MAX_HOLD  # nothing changes there
+    # A lease of 16 s is long enough for the normal maximum.
+    assert max_hold_duration(WorkerFacts(report_s=2.5, lease_s=16, cancel_s=36)) == MAX_HOLD
 
 
-def test_answers_are_held_as_long_as_nothing_urgent_waits_for_them() -> None:
-    """Machines full of short tasks reported twice a second, a thousand reports in all."""
+def test_answers_are_held_unless_urgent_work_waits_for_them() -> None:
+    """Machines full of short tasks used to report twice a second, all together a thousand times a second."""
     cluster_state = Dispatcher(1, timedelta(0), WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43), []).cluster_state
     cluster_state.set_types([MachineType("big", 16, 64, zones=("a",), price=1.0, boot_s=20)])
     machine = cluster_state.add_machine("n-1", "big", "a", False, timedelta(0), MachineState.BOOTING)
@@ -209,7 +211,7 @@
     cluster_state.runs[spec.job] = run
     placement = Placement(spec, 0, 1, machine, TaskState.FETCHING, timedelta(0))
     cluster_state.add_placement(run, placement)
-    # With few machines nothing is gained by waiting; with many it keeps their reports to 375 a second.
+    # With few machines there is no gain in holding answers; with many it limits their reports to 375 a second.
     for state in (TaskState.FETCHING, TaskState.RUNNING):
         cluster_state.move_task(placement, state, timedelta(1))
         assert _hold_duration(machine, 30, False) == HOLD_AWAITED
@@ -217,7 +219,7 @@
         assert _hold_duration(machine, 5000, False) == MAX_HOLD
         assert _hold_duration(machine, 30, True) == HOLD_OVERLOADED
     machine.reserve(spec, 1)
-    assert _hold_duration(machine, 600, True) == HOLD_AWAITED  # a gang waits for room here
+    assert _hold_duration(machine, 600, True) == HOLD_AWAITED  # a gang waits for capacity on this machine
     machine.reserve(spec, -1)
     cluster_state.stop_task(placement, timedelta(0), timedelta(1))
-    assert _hold_duration(machine, 600, True) == HOLD_AWAITED  # somebody waits for its end
+    assert _hold_duration(machine, 600, True) == HOLD_AWAITED  # other work or a user waits for the end of the task
