--- a/bench/leader_load.py
+++ b/bench/leader_load.py
@@ -300,11 +300,12 @@
         backlog = load.leader.backlog.waiting.values()
         print(
             f"{minute + 1:6d} {load.decision_s - decision_s:10.2f} {load.max_decision_s:14.3f} "
-            f"{load.leader.pool.looked_at - checks:8.0f} {len(backlog):8d} {sum(len(r.open) for r in backlog):8d} "
+            f"{load.leader.pool.machines_checked - checks:8.0f} {len(backlog):8d} "
+            f"{sum(len(r.open) for r in backlog):8d} "
             f"{waits[len(waits) // 2]:10.1f} {waits[len(waits) * 95 // 100]:10.1f} "
             f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:8.0f}"
         )
-        decision_s, checks, load.max_decision_s = load.decision_s, load.leader.pool.looked_at, 0.0
+        decision_s, checks, load.max_decision_s = load.decision_s, load.leader.pool.machines_checked, 0.0
     if profiler is not None:
         profiler.disable()
         pstats.Stats(profiler).sort_stats("tottime").print_stats(28)
--- a/gingerspar/controller.py
+++ b/gingerspar/controller.py
@@ -112,7 +112,7 @@
             self._reachability,
             self._contacts,
             self._clock,
-            self._term_manager.doubts_leader,
+            self._term_manager.should_probe_machines,
             self._addresses_to_probe,
             self._random,
         )
@@ -123,8 +123,8 @@
         self._claims.dispatcher_reachable = self._dispatcher_reachable
         self._claims.hand_over = self._hand_over
         self._job_api.notify_cancelled = self._notify_cancelled
-        self._job_api.types = lambda: {kind.name: kind for kind in self._types}
-        self._job_api.running = self._running_count
+        self._job_api.machine_types = lambda: {machine_type.name: machine_type for machine_type in self._types}
+        self._job_api.running_task_count = self._running_count
         self._job_api.peer_has_state = self._peer_has_state
         self._job_api.has_peer_contact = self._has_peer_contact
 
@@ -445,7 +445,7 @@
             case peers.Relayed():
                 self._request_relay.handle_answer(message)
             case peers.Reclaim():
-                self._claims.reclaim(message.job, message.attempt)
+                self._claims.request_reclaim(message.job, message.attempt)
 
     def _addresses_to_probe(self) -> list[str]:
         return self._runtime.sample_addresses() if self._runtime is not None else self._sample_addresses
@@ -483,7 +483,7 @@
 
     def _request_reclaim(self, node: str, job: str, attempt: int) -> None:
         if node == self._node:
-            self._claims.reclaim(job, attempt)
+            self._claims.request_reclaim(job, attempt)
         elif self._runtime is not None and node in self._peer_status:
             self._link.send(node, peers.pack(peers.Reclaim(self._node, self._runtime.dispatcher.term, job, attempt)))
 
--- a/gingerspar/coordination/cluster/capacity_index.py
+++ b/gingerspar/coordination/cluster/capacity_index.py
@@ -47,7 +47,7 @@
     """
 
     spec: JobSpec
-    places: dict[str, Capacity] = field(default_factory=dict)  # by machine name; only machines with slots
+    capacities: dict[str, Capacity] = field(default_factory=dict)  # by machine name; only machines with slots
     free: dict[str, Machine] = field(default_factory=dict)  # machines with free slots
     preemptible: dict[str, Machine] = field(default_factory=dict)  # machines where preemption gains slots
     zones: dict[str, Capacity] = field(default_factory=dict)  # totals by zone
@@ -70,7 +70,7 @@
         return len(changed)
 
     def _set(self, name: str, machine: Machine, capacity: Capacity) -> None:
-        previous = self.places.pop(name, None)
+        previous = self.capacities.pop(name, None)
         total = self.zones.setdefault(machine.zone, Capacity())
         if previous is not None:
             total.free -= previous.free
@@ -81,7 +81,7 @@
         if rank is not None:
             self.ranked.remove(rank)
         if capacity.total:
-            self.places[name] = capacity
+            self.capacities[name] = capacity
             total.free += capacity.free
             total.by_stopping += capacity.by_stopping
             if capacity.free:
@@ -118,8 +118,11 @@
         return (self.preemptible[name] for _, name in self.ranked)
 
     def _rank(self, name: str, machine: Machine, now: timedelta) -> Rank:
-        stop_costs = machine.forecast().weights[self.spec.priority.rank + 1 :]
-        return (sum(stop_cost.lost(now) for stop_cost in stop_costs) / self.places[name].by_stopping, name)
+        stop_costs = machine.forecast().stop_costs[self.spec.priority.rank + 1 :]
+        return (
+            sum(stop_cost.discarded_work(now) for stop_cost in stop_costs) / self.capacities[name].by_stopping,
+            name,
+        )
 
 
 def _machine_capacity(machine: Machine, spec: JobSpec) -> Capacity:
@@ -127,7 +130,7 @@
     free = fits(spec, cpus, gpus, memory)
     if not machine.live:
         return Capacity(free)
-    for share in machine.shares[spec.priority.rank + 1 :]:
+    for share in machine.usage_by_priority[spec.priority.rank + 1 :]:
         cpus, gpus, memory = cpus + share.cpus, gpus + share.gpus, memory + share.memory_gb
     return Capacity(free, max(fits(spec, cpus, gpus, memory) - free, 0))
 
--- a/gingerspar/coordination/cluster/cluster_state.py
+++ b/gingerspar/coordination/cluster/cluster_state.py
@@ -14,7 +14,7 @@
 from gingerspar.coordination.cluster.job_order import JobOrder
 from gingerspar.coordination.cluster.job_runs import Backlog, GangState, JobRun
 from gingerspar.coordination.cluster.machine import (
-    NOTHING,
+    ZERO_DURATION,
     Machine,
     MachineState,
     Placement,
@@ -50,7 +50,7 @@
 LATE_ORDER_OFFSET_S = 1e7  # seconds, more than any deadline lies ahead: late jobs come after all that may be in time
 NO_DEADLINE_OFFSET_S = 1e12  # seconds, later than all deadlines
 NO_USAGE = Usage()
-ROUNDING = 1e-6  # tolerance for totals that are updated by additions and subtractions
+ROUNDING_TOLERANCE = 1e-6  # tolerance for totals that are updated by additions and subtractions
 MAX_CACHED_TASK_KINDS = 2000  # kinds of task whose prices and machine options are cached
 _RUNNING_STATES = (TaskState.RUNNING, TaskState.SAVING)  # shown to users as running
 
@@ -60,7 +60,7 @@
     """An offer (machine type, zone and purchase kind) that a job may use."""
 
     offer: Offer
-    kind: MachineType
+    machine_type: MachineType
     tasks_per_machine: int  # tasks of the job that fit on an empty machine, at least one
     cost: float  # per task and hour, on a machine filled with tasks of the job
     expensive: bool  # costs far more per task than another ordinary machine type
@@ -124,20 +124,20 @@
         *,
         rostered: bool = False,
     ) -> Machine:
-        kind = self.types.get(type_name)
-        machine = Machine(name, type_name, zone, spot, state, now, kind=kind, rostered=rostered)
+        machine_type = self.types.get(type_name)
+        machine = Machine(name, type_name, zone, spot, state, now, machine_type=machine_type, rostered=rostered)
         self.pool.add(machine)
         return machine
 
     def set_types(self, types: Iterable[MachineType]) -> None:
-        self.types = {kind.name: kind for kind in types}
+        self.types = {machine_type.name: machine_type for machine_type in types}
         self._lowest_task_cost = {}
         self._machine_options = {}
         self._slowest_fetch_gb_per_s = max(
-            min((kind.fetch_gb_per_s for kind in self.types.values()), default=1.0), 1e-3
+            min((machine_type.fetch_gb_per_s for machine_type in self.types.values()), default=1.0), 1e-3
         )
         for machine in self.pool:
-            machine.set_kind(self.types.get(machine.type))
+            machine.set_machine_type(self.types.get(machine.type))
 
     def remove_machine(self, machine: Machine, now: timedelta) -> None:
         """Removes a machine; it is certain that it is gone, and all tasks on it."""
@@ -176,7 +176,7 @@
     def add_placement(self, run: JobRun, placement: Placement) -> None:
         """Adds a placement; the caller updates the run in the backlog after the last one."""
         placement.machine.add_placement(placement)
-        run.places.setdefault(placement.number, []).append(placement)
+        run.placements.setdefault(placement.number, []).append(placement)
         run.open.discard(placement.number)
         run.running += placement.state in _RUNNING_STATES
         run.has_started = run.has_started or placement.running_since is not None
@@ -188,17 +188,17 @@
     def _remove_placement(self, placement: Placement) -> JobRun:
         """Removes a placement that has ended, and opens its task again if that is not finished."""
         if placement.running_since is not None:
-            self.expected_releases.task_left(placement)
+            self.expected_releases.task_removed(placement)
         run = self.runs[placement.job]
-        places = run.places[placement.number]
-        places.remove(placement)
-        if not places:
-            del run.places[placement.number]
+        placements = run.placements[placement.number]
+        placements.remove(placement)
+        if not placements:
+            del run.placements[placement.number]
             if not run.ended and placement.number not in run.finished and placement.number < run.spec.tasks:
                 run.open.add(placement.number)
         self.usage[placement.spec.team].add(placement.spec, -1)
         self.service_levels.task_ended(placement)
-        if run.ended and not run.places:
+        if run.ended and not run.placements:
             self.runs.pop(placement.job, None)
         return run
 
@@ -218,12 +218,12 @@
     def gang_task_lost(self, run: JobRun, now: timedelta) -> None:
         """Handles the loss of a task: a gang that has lost a task is stopped whole."""
         if run.is_gang and not run.ended:
-            if run.places:
+            if run.placements:
                 run.set_gang_state(GangState.STOPPING)
                 for placement in run.live:
                     if placement.stop_grace is None:
                         self.stop_task(placement, NO_GRACE_PERIOD, now)
-            if not run.places:
+            if not run.placements:
                 run.set_gang_state(GangState.IDLE)
         self.backlog.update(run, now)
 
@@ -255,7 +255,7 @@
         self.backlog.update(run, now)
         for placement in run.live:
             self.stop_task(placement, NO_GRACE_PERIOD, now)
-        if not run.places:
+        if not run.placements:
             self.runs.pop(run.spec.job, None)
 
     def task_done(self, run: JobRun, number: int) -> bool:
@@ -276,7 +276,7 @@
 
     # -- slack and order ------------------------------------------------------
 
-    def can_wait(self, run: JobRun, now: timedelta, boot_time: timedelta = NOTHING) -> bool:
+    def can_wait(self, run: JobRun, now: timedelta, boot_time: timedelta = ZERO_DURATION) -> bool:
         """Returns whether expensive machines, available after ``boot_time``, would not help the job.
 
         True if the job will probably be in time even when it starts somewhat later, or will be too
@@ -285,7 +285,7 @@
         ``URGENT_CHEAP_WAIT_LIMIT``, in which less urgent work could have made capacity free.
         """
         spec = run.spec
-        waited = now - run.waiting_since if run.waiting_since is not None else NOTHING
+        waited = now - run.waiting_since if run.waiting_since is not None else ZERO_DURATION
         if spec.priority.rank <= Priority.HIGH.rank:
             return waited < URGENT_CHEAP_WAIT_LIMIT
         target, latest = self._finish_targets_of(spec)
@@ -304,9 +304,9 @@
         """
         target, _ = self._finish_targets_of(run.spec)
         if target is None or run.spec.priority.rank <= Priority.HIGH.rank:
-            return NOTHING
+            return ZERO_DURATION
         remaining = run.submitted + target - now - START_OVERHEAD - self.estimates.run_time(run.spec) * RUN_TIME_MARGIN
-        return max(remaining * SLACK_SHARE_FOR_WAITING, NOTHING)
+        return max(remaining * SLACK_SHARE_FOR_WAITING, ZERO_DURATION)
 
     def update_service_levels(self, now: timedelta) -> None:
         self.service_levels.update(self.runs.values(), self.pool, self.backlog, now)
@@ -328,12 +328,12 @@
 
     def is_start_overdue(self, run: JobRun, now: timedelta) -> bool:
         """Returns whether the job has to start now: a gang with all tasks, any other job with one task."""
-        if run.has_started or run.places or run.ended or now - run.submitted < START_PRIORITY_AFTER or run.failures:
+        if run.has_started or run.placements or run.ended or now - run.submitted < START_PRIORITY_AFTER or run.failures:
             return False
         return (
             self.largest_jobs.contains(run.spec)
             if run.is_gang
-            else self.service_levels.remaining_tasks(run, to_begin=True) > 0
+            else self.service_levels.remaining_tasks(run, for_first_task=True) > 0
         )
 
     def log_if_not_started(self, run: JobRun, now: timedelta) -> None:
@@ -411,7 +411,7 @@
             return deadline, deadline * self._deadline_factor.get(spec.jobclass, 1.0)
         return self._finish_target_range.get(spec.jobclass, (None, None))
 
-    def is_expensive(self, kind: MachineType, spot: bool, spec: JobSpec) -> bool:
+    def is_expensive(self, machine_type: MachineType, spot: bool, spec: JobSpec) -> bool:
         """Returns whether a machine costs far more per task than another ordinary type; spot machines never do.
 
         "Far more" is a price ratio above ``EXPENSIVE_PRICE_RATIO``.
@@ -428,7 +428,7 @@
                 if spec.types is None or other.name in spec.types
             ]
             self._lowest_task_cost[key] = min(costs, default=0.0)
-        return cost_per_task(kind, False, spec) > EXPENSIVE_PRICE_RATIO * self._lowest_task_cost[key]
+        return cost_per_task(machine_type, False, spec) > EXPENSIVE_PRICE_RATIO * self._lowest_task_cost[key]
 
     def machine_options(self, spec: JobSpec) -> list[MachineOption]:
         """Returns the offers in the catalog that the job may use and whose machines can hold its tasks."""
@@ -438,14 +438,19 @@
             if len(self._machine_options) >= MAX_CACHED_TASK_KINDS:
                 self._machine_options.clear()
             options = self._machine_options[key] = []
-            for kind in self.types.values():
-                tasks_per_machine = task_capacity(kind, spec)
-                for zone in kind.zones if tasks_per_machine else ():
-                    for spot in (True, False) if spec.spot and kind.spot_price is not None else (False,):
-                        if allows(spec, kind.name, zone, spot):
-                            cost, expensive = cost_per_task(kind, spot, spec), self.is_expensive(kind, spot, spec)
+            for machine_type in self.types.values():
+                tasks_per_machine = task_capacity(machine_type, spec)
+                for zone in machine_type.zones if tasks_per_machine else ():
+                    for spot in (True, False) if spec.spot and machine_type.spot_price is not None else (False,):
+                        if allows(spec, machine_type.name, zone, spot):
+                            cost, expensive = (
+                                cost_per_task(machine_type, spot, spec),
+                                self.is_expensive(machine_type, spot, spec),
+                            )
                             options.append(
-                                MachineOption((kind.name, zone, spot), kind, tasks_per_machine, cost, expensive)
+                                MachineOption(
+                                    (machine_type.name, zone, spot), machine_type, tasks_per_machine, cost, expensive
+                                )
                             )
         return options
 
@@ -489,10 +494,10 @@
         unsettled = self.pool.unsettled
         headroom = 1_000_000
         if team.cpus_max and spec.cpus:
-            cpus = used.cpus + pending_usage.cpus + unsettled.cpus + unsettled.unknown * team.cpus_max
+            cpus = used.cpus + pending_usage.cpus + unsettled.cpus + unsettled.unknown_types * team.cpus_max
             headroom = int((team.cpus_max - cpus) / spec.cpus + 1e-9)
         if team.gpus_max and spec.gpus:
-            gpus = used.gpus + pending_usage.gpus + unsettled.gpus + unsettled.unknown * team.gpus_max
+            gpus = used.gpus + pending_usage.gpus + unsettled.gpus + unsettled.unknown_types * team.gpus_max
             headroom = min(headroom, int((team.gpus_max - gpus) / spec.gpus + 1e-9))
         return max(headroom, 0)
 
@@ -502,4 +507,4 @@
         used = self.usage[spec.team]
         cpus = used.cpus + spec.tasks * spec.cpus - team.cpus_max if team.cpus_max and spec.cpus else 0.0
         gpus = used.gpus + spec.tasks * spec.gpus - team.gpus_max if team.gpus_max and spec.gpus else 0.0
-        return cpus - ROUNDING, gpus - ROUNDING
+        return cpus - ROUNDING_TOLERANCE, gpus - ROUNDING_TOLERANCE
--- a/gingerspar/coordination/cluster/estimates.py
+++ b/gingerspar/coordination/cluster/estimates.py
@@ -67,12 +67,12 @@
     def __init__(self) -> None:
         self._classes: dict[str, _ClassHistory] = {}
 
-    def job(self, spec: JobSpec) -> None:
+    def add_job(self, spec: JobSpec) -> None:
         """Adds the estimate of a submitted job."""
         if spec.estimate_s > 0:
             self._classes.setdefault(spec.jobclass, _ClassHistory()).add_job(math.log(spec.estimate_s))
 
-    def task(self, spec: JobSpec, duration: timedelta) -> None:
+    def add_run_time(self, spec: JobSpec, duration: timedelta) -> None:
         """Adds the run time of a task of the job that has succeeded."""
         history = self._classes.get(spec.jobclass)
         if history is not None and spec.estimate_s > 0 and duration > timedelta(0):
--- a/gingerspar/coordination/cluster/expected_releases.py
+++ b/gingerspar/coordination/cluster/expected_releases.py
@@ -44,7 +44,7 @@
             entry = jobs[placement.job] = (placement.spec, SortedList())
         entry[1].add(placement.running_since)
 
-    def task_left(self, placement: Placement) -> None:
+    def task_removed(self, placement: Placement) -> None:
         """Removes a task that has left its machine."""
         jobs = self._starts[_offer(placement)]
         starts = jobs[placement.job][1]
--- a/gingerspar/coordination/cluster/job_runs.py
+++ b/gingerspar/coordination/cluster/job_runs.py
@@ -9,7 +9,7 @@
 
 from sortedcontainers import SortedDict, SortedSet
 
-from gingerspar.coordination.cluster.machine import NOTHING, Machine, Placement
+from gingerspar.coordination.cluster.machine import ZERO_DURATION, Machine, Placement
 from gingerspar.protocol.messages import JobSpec, JobStatus, Priority, Shape
 from gingerspar.storage.records import JobRecord, Order, TaskSet
 
@@ -45,7 +45,7 @@
     recorded: TaskSet  # tasks finished according to the record
     unrecorded: set[int] = field(default_factory=set)  # tasks finished according to reports, not yet in the record
     open: "SortedSet[int]" = field(default_factory=SortedSet)  # unfinished tasks without a placement
-    places: dict[int, list[Placement]] = field(default_factory=dict)  # live placements by task
+    placements: dict[int, list[Placement]] = field(default_factory=dict)  # live placements by task
     running: int = 0  # number of live placements that run or save
     gang_state: GangState = GangState.IDLE
     max_used_attempt: int = 0  # highest attempt that may have been started
@@ -58,7 +58,7 @@
     ended: bool = False  # done or cancelled
     notified_at: timedelta | None = None  # when the claimant was last notified of `unrecorded`
     reclaim_requested_at: timedelta | None = None  # when a new attempt was last requested for the gang
-    submitted: timedelta = NOTHING  # on this node's monotonic clock
+    submitted: timedelta = ZERO_DURATION  # on this node's monotonic clock
     waiting_since: timedelta | None = None
     open_when_scanned: int = 0  # number of open tasks when a pass last compared the run with all machines
     reserved: dict[Machine, int] = field(default_factory=dict)  # number of task slots reserved on each machine
@@ -82,7 +82,7 @@
 
     @property
     def live(self) -> list[Placement]:
-        return [placement for places in self.places.values() for placement in places]
+        return [placement for placements in self.placements.values() for placement in placements]
 
     def set_gang_state(self, state: GangState) -> None:
         """Sets the gang's state; no other code changes it."""
@@ -94,7 +94,7 @@
         if not self.open or self.ended or self.record.status is not JobStatus.RUNNING:
             return False
         if self.is_gang:
-            return self.gang_state is GangState.IDLE and not self.places and len(self.open) >= self.spec.tasks
+            return self.gang_state is GangState.IDLE and not self.placements and len(self.open) >= self.spec.tasks
         return True
 
     @property
@@ -124,10 +124,10 @@
         self._by_constraint: dict[ConstraintKey, dict[str, JobRun]] = {}
         self._min_demands: dict[ConstraintKey, MinDemand] = {}
 
-    def update(self, run: JobRun, now: timedelta, *, fresh: bool = False) -> None:
+    def update(self, run: JobRun, now: timedelta, *, rescan: bool = False) -> None:
         """Files the run according to its state; must be called after each change that may affect ``is_waiting``.
 
-        With ``fresh``, a waiting run is compared with all machines once more.
+        With ``rescan``, a waiting run is compared with all machines once more.
         """
         order = run.order
         if run.is_waiting and run.not_before is not None and run.not_before > now:
@@ -138,8 +138,8 @@
                 run.waiting_since = now
                 self.waiting[order] = run
                 self._add_to_constraint_group(run)
-                fresh = True
-            if fresh or len(run.open) > run.open_when_scanned:
+                rescan = True
+            if rescan or len(run.open) > run.open_when_scanned:
                 self.unscanned[order] = run
         else:
             self._remove(run)
--- a/gingerspar/coordination/cluster/machine.py
+++ b/gingerspar/coordination/cluster/machine.py
@@ -49,7 +49,7 @@
 
 
 _IMAGE_PENDING = {TaskState.PLANNED, TaskState.SENT, TaskState.FETCHING}
-NOTHING = timedelta(0)
+ZERO_DURATION = timedelta(0)
 
 TASK_STATE_BY_STATUS = {
     TaskStatus.FETCHING: TaskState.FETCHING,
@@ -69,8 +69,8 @@
     attempt: int
     machine: "Machine"
     state: TaskState
-    since: timedelta  # time of the last state change
-    answered: tuple[int, int] = (0, 0)  # session and seq of the report whose answer carried `run`
+    state_since: timedelta  # time of the last state change
+    sent_in_answer_to: tuple[int, int] = (0, 0)  # session and seq of the report whose answer carried `run`
     stop_grace: timedelta | None = None  # grace period of the requested stop
     stop_sent: bool = False  # in an answer to a report
     direct_stop_grace: timedelta | None = None  # grace period of the stop that was sent directly, not in an answer
@@ -112,7 +112,7 @@
         if state is TaskState.RUNNING and self.running_since is None:
             self.running_since = now
         self.state = state
-        self.since = now
+        self.state_since = now
         if state in (TaskState.EXITED, TaskState.GONE):
             self.machine.remove_placement(self)
         else:
@@ -166,15 +166,15 @@
     return count if count > 0 else 0
 
 
-def task_capacity(kind: MachineType, spec: JobSpec) -> int:
+def task_capacity(machine_type: MachineType, spec: JobSpec) -> int:
     """Returns how many tasks of the job fit on an empty machine of this type."""
-    return fits(spec, kind.cpus, kind.gpus, kind.memory_gb)
+    return fits(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
 
-def cost_per_task(kind: MachineType, spot: bool, spec: JobSpec) -> float:
+def cost_per_task(machine_type: MachineType, spot: bool, spec: JobSpec) -> float:
     """Returns the hourly price per task on a machine filled with such tasks; infinite if none fits."""
-    count = task_capacity(kind, spec)
-    return kind.cost(spot) / count if count else math.inf
+    count = task_capacity(machine_type, spec)
+    return machine_type.cost(spot) / count if count else math.inf
 
 
 def resource_weight(amounts: JobSpec | MachineType) -> float:
@@ -200,9 +200,9 @@
             self.save_cost += weight * spec.save_s
         else:
             self.unsaved_weight += weight
-            self.weighted_starts += weight * (placement.running_since or placement.since).total_seconds()
+            self.weighted_starts += weight * (placement.running_since or placement.state_since).total_seconds()
 
-    def lost(self, now: timedelta) -> float:
+    def discarded_work(self, now: timedelta) -> float:
         """Returns the work that would be discarded by stopping these tasks now."""
         return self.save_cost + self.unsaved_weight * now.total_seconds() - self.weighted_starts
 
@@ -211,11 +211,11 @@
 class UsageForecast:
     """Expected usage of a machine by its present tasks; cached until one of them changes."""
 
-    last_end: timedelta | None  # when the last of the running tasks should end, by the estimates
-    longest_ahead: timedelta  # longest run time among the tasks that are not running yet
-    longest: timedelta  # longest run time among all tasks
-    fetching: frozenset[str]  # images that still have to be fetched or are being fetched
-    weights: tuple[StopCost, ...]  # by priority rank of the tasks
+    last_release: timedelta | None  # when the last of the running tasks should end, by the estimates
+    longest_not_started: timedelta  # longest run time among the tasks that are not running yet
+    longest_run_time: timedelta  # longest run time among all tasks
+    images_pending: frozenset[str]  # images that still have to be fetched or are being fetched
+    stop_costs: tuple[StopCost, ...]  # by priority rank of the tasks
 
 
 @dataclass(slots=True, eq=False)
@@ -228,18 +228,18 @@
     spot: bool
     state: MachineState
     created: timedelta
-    kind: MachineType | None = None
+    machine_type: MachineType | None = None
     address: str = ""
     session: int = 0  # of the last accepted report
     seq: int = 0  # sequence number of that report in its session
     min_session: int = 0  # reports of earlier sessions are stale: their lease has expired
-    answered: timedelta | None = None  # arrival of the last report that was answered with status 200
+    last_answered_at: timedelta | None = None  # arrival of the last report that was answered with status 200
     # When this leader first sent its token to the worker; None once a report shows the token.
     token_sent_at: timedelta | None = None
     token_session: int = 0  # last session in which a report showed this leader's token
     delivery: AnswerDelivery = field(init=False)
     rostered: bool = False
-    notice: timedelta | None = None  # when the cloud takes it away (spot notice)
+    spot_notice_at: timedelta | None = None  # when the cloud takes it away (spot notice)
     live: dict[tuple[str, int, int], Placement] = field(default_factory=dict)
     # Exited tasks in the last report, by job, number and attempt.
     exited_placements: dict[tuple[str, int, int], Cause | None] = field(default_factory=dict)
@@ -247,15 +247,17 @@
     # a worker lists a finished task until the record of the job shows it.
     ended_placements: dict[tuple[str, int], tuple[str, int, int]] = field(default_factory=dict)
     used: Usage = field(default_factory=Usage)  # by all live placements
-    shares: list[Usage] = field(default_factory=lambda: _empty_usage_by_priority())  # ``used`` by priority rank
+    # ``used`` by priority rank.
+    usage_by_priority: list[Usage] = field(default_factory=lambda: _empty_usage_by_priority())
     images: dict[str, float] = field(default_factory=dict)  # cached images: GB by name, least recently used first
     idle_since: timedelta | None = None
-    errors: dict[str, int] = field(default_factory=dict)  # failed tasks by job since a task last succeeded here
+    # Failed tasks by job since a task last succeeded here.
+    failures_by_job: dict[str, int] = field(default_factory=dict)
     suspect_until: timedelta | None = None
     leave_reason: str = ""
     reserved: Usage = field(default_factory=Usage)  # for jobs that wait for more capacity, mostly gangs
     cached_forecast: UsageForecast | None = None
-    tasks_seen: bytes | None = None  # encoded task list of the last report, if it has been processed whole
+    last_task_list: bytes | None = None  # encoded task list of the last report, if it has been processed whole
     # Notifies the pool of a change; the second argument says whether free capacity may have grown.
     on_change: Callable[["Machine", bool], None] = lambda machine, gained: None
 
@@ -291,15 +293,15 @@
         self.rostered = True
         self.on_change(self, True)
 
-    def set_kind(self, kind: MachineType | None) -> None:
-        previous, self.kind = self.kind, kind
-        if previous is None or kind is None:
+    def set_machine_type(self, machine_type: MachineType | None) -> None:
+        previous, self.machine_type = self.machine_type, machine_type
+        if previous is None or machine_type is None:
             self.on_change(self, True)
 
     def add_placement(self, placement: Placement) -> None:
         self.live[(placement.job, placement.number, placement.attempt)] = placement
         self.used.add(placement.spec)
-        self.shares[placement.rank].add(placement.spec)
+        self.usage_by_priority[placement.rank].add(placement.spec)
         self.idle_since = None
         self.cached_forecast = None
         self.on_change(self, False)
@@ -307,10 +309,11 @@
     def remove_placement(self, placement: Placement) -> None:
         if self.live.pop((placement.job, placement.number, placement.attempt), None) is not None:
             self.used.add(placement.spec, -1)
-            self.shares[placement.rank].add(placement.spec, -1)
+            self.usage_by_priority[placement.rank].add(placement.spec, -1)
             self.cached_forecast = None
             if not self.live:
-                self.used, self.shares = Usage(), _empty_usage_by_priority()  # drops accumulated rounding errors
+                # Drops accumulated rounding errors.
+                self.used, self.usage_by_priority = Usage(), _empty_usage_by_priority()
                 self.idle_since = None
             self.on_change(self, True)
 
@@ -321,23 +324,23 @@
 
     def free(self) -> tuple[float, float, float]:
         """Returns the processors, accelerators and GB of memory that are neither used nor reserved."""
-        kind = self.kind
-        if kind is None:
+        machine_type = self.machine_type
+        if machine_type is None:
             return 0.0, 0.0, 0.0
         # Called about ten thousand times a second, so ``unused`` is inlined here.
         used, reserved = self.used, self.reserved
         return (
-            kind.cpus - used.cpus - reserved.cpus,
-            kind.gpus - used.gpus - reserved.gpus,
-            kind.memory_gb - used.memory_gb - reserved.memory_gb,
+            machine_type.cpus - used.cpus - reserved.cpus,
+            machine_type.gpus - used.gpus - reserved.gpus,
+            machine_type.memory_gb - used.memory_gb - reserved.memory_gb,
         )
 
     def unused(self) -> tuple[float, float, float]:
         """Returns the processors, accelerators and GB of memory that no task uses, including reserved ones."""
-        kind, used = self.kind, self.used
-        if kind is None:
+        machine_type, used = self.machine_type, self.used
+        if machine_type is None:
             return 0.0, 0.0, 0.0
-        return kind.cpus - used.cpus, kind.gpus - used.gpus, kind.memory_gb - used.memory_gb
+        return machine_type.cpus - used.cpus, machine_type.gpus - used.gpus, machine_type.memory_gb - used.memory_gb
 
     def tasks_that_fit(self, spec: JobSpec) -> int:
         """Returns how many more tasks of the job fit into the free capacity."""
@@ -347,9 +350,9 @@
     def forecast(self) -> UsageForecast:
         """Returns the usage forecast, which is computed again only after a change."""
         if self.cached_forecast is None:
-            last_end: timedelta | None = None
-            longest_ahead = longest = NOTHING
-            fetching: set[str] = set()
+            last_release: timedelta | None = None
+            longest_not_started = longest_run_time = ZERO_DURATION
+            images_pending: set[str] = set()
             stop_costs = tuple([StopCost() for _ in range(PRIORITY_COUNT)])
             run_times: dict[str, timedelta] = {}  # by job: a machine's tasks usually belong to few jobs
             for placement in self.live.values():
@@ -357,16 +360,18 @@
                 expected_run_time = run_times.get(spec.job)
                 if expected_run_time is None:
                     expected_run_time = run_times[spec.job] = run_time(spec)
-                    longest = max(longest, expected_run_time)
+                    longest_run_time = max(longest_run_time, expected_run_time)
                 stop_costs[placement.rank].add(placement)
                 since = placement.running_since
                 if since is None:
-                    longest_ahead = max(longest_ahead, expected_run_time)
-                elif last_end is None or since + expected_run_time > last_end:
-                    last_end = since + expected_run_time
+                    longest_not_started = max(longest_not_started, expected_run_time)
+                elif last_release is None or since + expected_run_time > last_release:
+                    last_release = since + expected_run_time
                 if placement.state in _IMAGE_PENDING and spec.image not in self.images:
-                    fetching.add(spec.image)
-            self.cached_forecast = UsageForecast(last_end, longest_ahead, longest, frozenset(fetching), stop_costs)
+                    images_pending.add(spec.image)
+            self.cached_forecast = UsageForecast(
+                last_release, longest_not_started, longest_run_time, frozenset(images_pending), stop_costs
+            )
         return self.cached_forecast
 
     def remember_image(self, image: str, size_gb: float) -> None:
@@ -374,7 +379,7 @@
         if self.images.pop(image, None) is None:
             self.cached_forecast = None
         self.images[image] = size_gb
-        capacity_gb = self.kind.cache_gb if self.kind is not None else 0.0
+        capacity_gb = self.machine_type.cache_gb if self.machine_type is not None else 0.0
         total_gb = sum(self.images.values())
         for name in list(self.images):
             if total_gb <= capacity_gb or name == image:
--- a/gingerspar/coordination/cluster/pool.py
+++ b/gingerspar/coordination/cluster/pool.py
@@ -19,7 +19,7 @@
 Offer = tuple[str, str, bool]  # machine type, zone, whether spot
 Bucket = tuple[int, int]  # free accelerators and free processors, rounded down
 
-ROUNDING = 1e-6  # tolerance for rounding errors in sums of resources
+ROUNDING_TOLERANCE = 1e-6  # tolerance for rounding errors in sums of resources
 
 
 def allows(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
@@ -36,7 +36,7 @@
     """Totals over machines that may still run tasks which an earlier leader started."""
 
     names: set[str] = field(default_factory=set)
-    unknown: int = 0  # number of machines of unknown type; each counts as the full limit of a team
+    unknown_types: int = 0  # number of machines of unknown type; each counts as the full limit of a team
     cpus: float = 0.0
     gpus: float = 0.0
     offers: dict[Offer, int] = field(default_factory=dict)  # number of machines by offer
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
         self.states: dict[MachineState, dict[str, Machine]] = {state: {} for state in MachineState}
-        self.looked_at = 0  # number of machine checks made by searches: the measure of the cost of a pass
+        self.machines_checked = 0  # number of machine checks made by searches: the measure of the cost of a pass
         self._entries: dict[str, tuple[Offer, Bucket]] = {}
         self._state_of: dict[str, MachineState] = {}
         self._buckets: dict[Offer, dict[Bucket, dict[str, Machine]]] = {}
@@ -94,17 +94,20 @@
             self._state_of[name] = machine.state
         if MachineState.UNSETTLED in (previous_state, machine.state):
             self._unsettled = None
-        kind = machine.kind
+        machine_type = machine.machine_type
         if (
             machine.state is not MachineState.READY
             or not machine.rostered
-            or kind is None
+            or machine_type is None
             or not machine.delivery.is_confirmed
         ):
             self._remove_from_index(machine)
             return
         cpus, gpus, _ = machine.free()
-        new_entry = ((machine.type, machine.zone, machine.spot), (int(gpus + ROUNDING), int(cpus + ROUNDING)))
+        new_entry = (
+            (machine.type, machine.zone, machine.spot),
+            (int(gpus + ROUNDING_TOLERANCE), int(cpus + ROUNDING_TOLERANCE)),
+        )
         entry = self._entries.get(name)
         if entry != new_entry:
             self._remove_from_index(machine)
@@ -138,7 +141,9 @@
         finally:
             self._suppressed_gains = None
             for machine, free_before in before.items():
-                if any(after > prior + ROUNDING for after, prior in zip(machine.free(), free_before, strict=True)):
+                if any(
+                    after > prior + ROUNDING_TOLERANCE for after, prior in zip(machine.free(), free_before, strict=True)
+                ):
                     self._gained[machine.name] = machine
 
     # -- queries --------------------------------------------------------------
@@ -146,12 +151,12 @@
     def capacity(self, spec: JobSpec) -> CapacityIndex:
         """The refreshed index of how many tasks like those of the job each allowed ready machine can take."""
         index = self._capacity_indexes.of(spec, self.machines.values)
-        self.looked_at += index.refresh(
+        self.machines_checked += index.refresh(
             lambda machine: machine.name in self._entries and allows(spec, machine.type, machine.zone, machine.spot)
         )
         return index
 
-    def with_room(self, spec: JobSpec) -> list[Machine]:
+    def with_free_capacity(self, spec: JobSpec) -> list[Machine]:
         """Ready machines that the job allows and that have free capacity for at least one of its tasks."""
         min_gpus, min_cpus = int(spec.gpus), int(spec.cpus)
         found: list[Machine] = []
@@ -161,7 +166,7 @@
             for (gpus, cpus), machines in buckets.items():
                 if gpus < min_gpus or cpus < min_cpus:
                     continue
-                self.looked_at += len(machines)
+                self.machines_checked += len(machines)
                 found += [machine for machine in machines.values() if machine.tasks_that_fit(spec) > 0]
         return found
 
@@ -174,12 +179,12 @@
             machine
             for machine in self.states[MachineState.READY].values()
             if machine.name in self._entries
-            and machine.kind is not None
+            and machine.machine_type is not None
             and machine not in excluded
             and allows(spec, machine.type, machine.zone, machine.spot)
-            and fits(spec, machine.kind.cpus, machine.kind.gpus, machine.kind.memory_gb)
+            and fits(spec, machine.machine_type.cpus, machine.machine_type.gpus, machine.machine_type.memory_gb)
         ]
-        self.looked_at += len(usable)
+        self.machines_checked += len(usable)
 
         def availability(machine: Machine) -> tuple[timedelta, str]:
             """When enough tasks will have ended there, by their estimates; ties go by machine name."""
@@ -204,15 +209,15 @@
         for offer, buckets in self._buckets.items():
             machine = next((machine for bucket in buckets.values() for machine in bucket.values()), None)
             if machine is not None:
-                assert machine.kind is not None
-                found.append((offer, machine.kind, sum(len(bucket) for bucket in buckets.values())))
+                assert machine.machine_type is not None
+                found.append((offer, machine.machine_type, sum(len(bucket) for bucket in buckets.values())))
         return found
 
     def takes_tasks(self, machine: Machine) -> bool:
         """Whether new tasks may be placed on the machine."""
         return machine.name in self._entries
 
-    def take_gained(self) -> list[Machine]:
+    def pop_gained(self) -> list[Machine]:
         """Returns the ready machines that may have gained free capacity since the last call."""
         gained, self._gained = self._gained, {}
         return [machine for name, machine in gained.items() if name in self._entries]
@@ -230,11 +235,11 @@
                 total.names.add(machine.name)
                 offer = (machine.type, machine.zone, machine.spot)
                 total.offers[offer] = total.offers.get(offer, 0) + 1
-                kind: MachineType | None = machine.kind
-                if kind is None:
-                    total.unknown += 1
+                machine_type: MachineType | None = machine.machine_type
+                if machine_type is None:
+                    total.unknown_types += 1
                 else:
-                    total.cpus += kind.cpus
-                    total.gpus += kind.gpus
+                    total.cpus += machine_type.cpus
+                    total.gpus += machine_type.gpus
             self._unsettled = total
         return self._unsettled
--- a/gingerspar/coordination/cluster/service_level.py
+++ b/gingerspar/coordination/cluster/service_level.py
@@ -69,7 +69,7 @@
         for name, level in self.classes.items():
             self._update_state(name, level)
         ready = pool.ready()
-        self.total_weight = sum(count * resource_weight(kind) for _, kind, count in ready)
+        self.total_weight = sum(count * resource_weight(machine_type) for _, machine_type, count in ready)
         lagging = self.lagging()
         if lagging:
             offers = [offer for offer, _, _ in ready]
@@ -116,15 +116,15 @@
         level = self.classes.get(run.spec.jobclass)
         return level is not None and (machine.type, machine.zone, machine.spot) in level.contended_offers
 
-    def remaining_tasks(self, run: JobRun, *, to_begin: bool = False) -> int:
+    def remaining_tasks(self, run: JobRun, *, for_first_task: bool = False) -> int:
         """The number of tasks of the job that fit into the rest of the share.
 
-        With ``to_begin``, for the first task of a job whose start is overdue, the share is larger by
+        With ``for_first_task``, for the first task of a job whose start is overdue, the share is larger by
         ``FIRST_TASK_EXTRA_SHARE``, because lagging classes use all of the normal share (kerlann-fonts-fleet loss half
         as large again: five of the largest jobs had not started in time).
         """
         weight = resource_weight(run.spec)
-        share = LAGGING_SHARE + FIRST_TASK_EXTRA_SHARE if to_begin else LAGGING_SHARE
+        share = LAGGING_SHARE + FIRST_TASK_EXTRA_SHARE if for_first_task else LAGGING_SHARE
         return max(int((self.total_weight * share - self.used_weight) / weight), 0) if weight > 0 else 0
 
     def task_placed(self, placement: Placement) -> None:
--- a/gingerspar/coordination/jobs/claims.py
+++ b/gingerspar/coordination/jobs/claims.py
@@ -32,7 +32,7 @@
 CLAIM_DEADLINE = timedelta(seconds=90)
 # A record that has been claimable for this long may be claimed by a node that did not accept it.
 FALLBACK_CLAIM_DELAY = timedelta(seconds=1)
-ZERO = timedelta(0)
+ZERO_DURATION = timedelta(0)
 ROUNDING_TOLERANCE = 1e-6  # rounding error of totals after many additions and subtractions
 # Each further node in the record's fallback order waits this much longer than the one before it.
 FALLBACK_CLAIM_INTERVAL = timedelta(seconds=3)
@@ -261,7 +261,7 @@
             pending.tasks.update(number for number in tasks if number not in entry.finished)
             self._result_wake.set()
 
-    def reclaim(self, job: str, attempt: int) -> None:
+    def request_reclaim(self, job: str, attempt: int) -> None:
         """Requests, for the dispatcher, a claim with a later attempt; ignored if the record shows one already."""
         self._reclaim_requests[job] = attempt
         self._wake.set()
@@ -289,7 +289,7 @@
         if claimant is None or term is None or not self._pending_jobs:
             return []
         batch: list[RecordChange] = []
-        max_claims = min(self._settings.claim_batch, self._client.most_puts)
+        max_claims = min(self._settings.claim_batch, self._client.max_puts)
         claimed_resources = self._claimed_resources.copy_totals()
         nodes = sorted(self._view.nodes)
         for job in self._pending_jobs.values():
@@ -304,7 +304,7 @@
                 continue
             waited = now - self._claimable_since[job] - FALLBACK_CLAIM_DELAY
             if job in self._accepted or (
-                waited >= ZERO and waited >= FALLBACK_CLAIM_INTERVAL * self._fallback_position(job, nodes)
+                waited >= ZERO_DURATION and waited >= FALLBACK_CLAIM_INTERVAL * self._fallback_position(job, nodes)
             ):
                 if not overdue:
                     claimed_resources.add(entry)
@@ -332,7 +332,7 @@
             entry = self._view.jobs.get(job)
             if entry is None or entry.record.claimant != claimant or entry.record.attempt > attempt:
                 del self._reclaim_requests[job]
-            elif claimant is not None and term is not None and len(batch) < self._client.most_puts:
+            elif claimant is not None and term is not None and len(batch) < self._client.max_puts:
                 del self._reclaim_requests[job]
                 batch.append(RecordChange(job, entry.version, claimed(entry, claimant, term[0].term)))
         return batch
@@ -346,7 +346,7 @@
         ]
         return [
             RecordChange(job, entry.version, released(entry))
-            for job, entry in own_claims[: min(self._settings.sweep_batch, self._client.most_puts)]
+            for job, entry in own_claims[: min(self._settings.sweep_batch, self._client.max_puts)]
         ]
 
     async def run_results(self) -> None:
@@ -386,7 +386,7 @@
             if change is None:
                 del self._pending_results[job]
                 continue
-            if put_count + 1 + len(change.chunks) > self._client.most_puts and batch:
+            if put_count + 1 + len(change.chunks) > self._client.max_puts and batch:
                 break
             put_count += 1 + len(change.chunks)
             batch.append(change)
--- a/gingerspar/coordination/jobs/job_api.py
+++ b/gingerspar/coordination/jobs/job_api.py
@@ -69,7 +69,7 @@
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team}"
-    if not any(fits_machine_type(spec, kind) for kind in types.values()):
+    if not any(fits_machine_type(spec, machine_type) for machine_type in types.values()):
         return "a task fits no allowed machine type"
     count = 1 if spec.shape is Shape.ARRAY else spec.tasks
     if team.cpus_max and spec.cpus * count > team.cpus_max + 1e-9:
@@ -79,13 +79,17 @@
     return None
 
 
-def fits_machine_type(spec: JobSpec, kind: MachineType) -> bool:
+def fits_machine_type(spec: JobSpec, machine_type: MachineType) -> bool:
     """Whether type, zone and size of the machine suit a task; free capacity is not considered."""
-    if spec.types is not None and kind.name not in spec.types:
+    if spec.types is not None and machine_type.name not in spec.types:
         return False
-    if spec.zone is not None and spec.zone not in kind.zones:
+    if spec.zone is not None and spec.zone not in machine_type.zones:
         return False
-    return spec.cpus <= kind.cpus + 1e-9 and spec.gpus <= kind.gpus + 1e-9 and spec.memory_gb <= kind.memory_gb + 1e-9
+    return (
+        spec.cpus <= machine_type.cpus + 1e-9
+        and spec.gpus <= machine_type.gpus + 1e-9
+        and spec.memory_gb <= machine_type.memory_gb + 1e-9
+    )
 
 
 class _Submission:
@@ -122,8 +126,8 @@
         # In order of arrival, which is also the order of the deadlines.
         self._status_requests: deque[_StatusRequest] = deque()
         self._request_added = asyncio.Event()
-        self.types: Callable[[], dict[str, MachineType]] = dict
-        self.running: Callable[[str], int] = lambda job: 0
+        self.machine_types: Callable[[], dict[str, MachineType]] = dict
+        self.running_task_count: Callable[[str], int] = lambda job: 0
         self.peer_has_state: Callable[[], bool] = lambda: False
         self.has_peer_contact: Callable[[], bool] = lambda: True  # also true where the node has no peers
         self.notify_cancelled: Callable[[str, int, JobRecord], None] = lambda job, version, record: None
@@ -188,7 +192,7 @@
         except Malformed as error:
             log.info("malformed submission: %s", error)
             return None, error_answer(400, str(error))
-        types = self.types()
+        types = self.machine_types()
         if not types:
             return None, error_answer(503, "machine types are not known yet", 1)
         reason = rejection_reason(spec, self._teams, types)
@@ -221,7 +225,7 @@
             await self._queued.wait()
             batch: list[_Submission] = []
             size = 0
-            while self._queue and len(batch) < self._client.most_puts:
+            while self._queue and len(batch) < self._client.max_puts:
                 size += len(records.pack(self._queue[0].record)) + 200
                 if batch and size > MAX_TXN_BYTES:
                     break
@@ -318,7 +322,7 @@
         entry = self._view.jobs.get(job)
         if entry is None:
             return error_answer(404, "no such job")
-        running = self.running(job)
+        running = self.running_task_count(job)
         status = JobStatus.RUNNING if running else JobStatus.PENDING
         return Answer(200, messages.encode(JobView(job, status, len(entry.finished), running)))
 
@@ -371,5 +375,5 @@
 
     def _state_answer(self, status: int, job: str, known_status: JobStatus) -> Answer:
         if not known_status.final:
-            known_status = JobStatus.RUNNING if self.running(job) else JobStatus.PENDING
+            known_status = JobStatus.RUNNING if self.running_task_count(job) else JobStatus.PENDING
         return Answer(status, messages.encode(JobState(job, known_status)))
--- a/gingerspar/coordination/jobs/reconciler.py
+++ b/gingerspar/coordination/jobs/reconciler.py
@@ -43,7 +43,7 @@
         self._view = view
         self._session = session
         self._active = active
-        self._batch = min(batch, client.most_puts)
+        self._batch = min(batch, client.max_puts)
 
     async def run(self) -> None:
         while True:
--- a/gingerspar/coordination/leader/dispatcher.py
+++ b/gingerspar/coordination/leader/dispatcher.py
@@ -19,7 +19,7 @@
     unknown_job_spec,
 )
 from gingerspar.coordination.cluster.machine import TASK_STATE_BY_STATUS, Machine, MachineState, Placement, TaskState
-from gingerspar.coordination.membership.term import DRIFT, settling_time
+from gingerspar.coordination.membership.term import MAX_CLOCK_DRIFT, settling_time
 from gingerspar.coordination.placement.placer import Placer
 from gingerspar.protocol.messages import (
     Cause,
@@ -86,7 +86,7 @@
         self.runs = self.cluster_state.runs
         self.backlog = self.cluster_state.backlog
         self.workers = workers
-        self._lease_timeout = workers.lease * (1 + 4 * DRIFT) + LEASE_EXPIRY_MARGIN
+        self._lease_timeout = workers.lease * (1 + 4 * MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN
         self._settled_at = raised_at + settling_time(workers)
         self._placer = Placer(self.cluster_state)
         self._machines_with_notice: dict[str, Machine] = {}  # machines that the cloud will reclaim
@@ -102,7 +102,7 @@
                 name, type_name, zone, spot, raised_at, MachineState.UNSETTLED, rostered=True
             )
 
-    def on_wake(self, wake: Callable[[Machine], None]) -> None:
+    def set_command_callback(self, wake: Callable[[Machine], None]) -> None:
         """Sets the callback that receives each machine for which a command is waiting."""
         self._wake = wake
 
@@ -135,12 +135,12 @@
         if run is None or run.ended:
             new_run = self._new_run(record, finished, now)
             if run is not None:
-                new_run.places, new_run.running, new_run.max_used_attempt = (
-                    run.places,
+                new_run.placements, new_run.running, new_run.max_used_attempt = (
+                    run.placements,
                     run.running,
                     run.max_used_attempt,
                 )
-                new_run.open -= set(run.places)
+                new_run.open -= set(run.placements)
             run = self.runs[job] = new_run
         run.record = record
         if record.claim_term < self.term:
@@ -153,7 +153,7 @@
             run.open.discard(number)
         if not run.unrecorded:
             self.cluster_state.unrecorded.pop(job, None)
-        self.backlog.update(run, now, fresh=True)
+        self.backlog.update(run, now, rescan=True)
 
     def _new_run(self, record: JobRecord, finished: TaskSet, now: timedelta) -> JobRun:
         run = JobRun(record.spec, record, finished.copy(), finished.copy(), submitted=now)
@@ -164,7 +164,7 @@
         run.has_started = len(finished) > 0
         self.cluster_state.largest_jobs.add(run.spec)
         run.order = self.cluster_state.order_key(run, now)
-        self.cluster_state.estimates.job(run.spec)
+        self.cluster_state.estimates.add_job(run.spec)
         if run.spec.gpus:
             self.cluster_state.accelerator_specs[run.spec.jobclass] = run.spec
         return run
@@ -181,7 +181,7 @@
             raise NewerToken
         machine = self.machines.get(report.machine)
         encoded_tasks = bytes(report.tasks)
-        listed_tasks = report.task_list() if machine is None or encoded_tasks != machine.tasks_seen else None
+        listed_tasks = report.task_list() if machine is None or encoded_tasks != machine.last_task_list else None
         if machine is None:
             if report.token >= self.term:
                 # The worker has seen this term's token, so this leader knew the machine and has returned it to the
@@ -212,13 +212,13 @@
                 machine.token_sent_at = now
             elif now - machine.token_sent_at > TOKEN_RETRY_LIMIT:
                 raise StaleReport
-            machine.answered = now
+            machine.last_answered_at = now
             if machine.state is MachineState.BOOTING and machine.rostered and report.task_list():
                 machine.move(MachineState.UNSETTLED)
             return machine
         machine.token_sent_at = None
         machine.token_session = report.session
-        machine.answered = now
+        machine.last_answered_at = now
         if machine.state in (MachineState.BOOTING, MachineState.UNSETTLED, MachineState.LOST):
             log.info("machine %s %s -> ready", machine.name, machine.state.value)
             machine.move(MachineState.READY)
@@ -226,12 +226,12 @@
             self.needs_placement = True
         if listed_tasks is not None:
             self._apply_task_list(machine, report, listed_tasks, now)
-            machine.tasks_seen = encoded_tasks
+            machine.last_task_list = encoded_tasks
             self.needs_placement = True
         if answer_received is not None:
             self._record_answer_delivery(machine, answer_received, now)
         if report.notice_s is not None:
-            machine.notice = now + timedelta(seconds=report.notice_s)
+            machine.spot_notice_at = now + timedelta(seconds=report.notice_s)
             self._machines_with_notice[machine.name] = machine
             if machine.state is MachineState.READY:
                 self.drain_machine(machine, "spot notice")
@@ -239,7 +239,7 @@
             machine.idle_since = now
         return machine
 
-    def notified_directly(self, machine: Machine, report: Report) -> None:
+    def record_direct_notification(self, machine: Machine, report: Report) -> None:
         """Records the status report of a machine that has not reported by itself and is now sent the token directly.
 
         From then on its reports carry the token. A delayed report must not pass for the first one after a loss or
@@ -253,14 +253,16 @@
 
     def _received_last_answer(self, machine: Machine, report: Report, now: timedelta) -> bool | None:
         """Whether the worker has received the answer to its previous report; None if there was no answer."""
-        if machine.answered is None:
+        if machine.last_answered_at is None:
             return None
         if machine.token_sent_at is not None or report.token < self.term:
             return report.token >= self.term  # it was sent the token; the report shows whether it arrived
         # A new session counts as a full round of the controllers: the worker's lease has run out, unless it was
         # restarted just now.
         seq_increase = self._nodes if report.session > machine.session else report.seq - machine.seq
-        return not tried_other_controllers(now - machine.answered, seq_increase, self._nodes, self.workers.report)
+        return not tried_other_controllers(
+            now - machine.last_answered_at, seq_increase, self._nodes, self.workers.report
+        )
 
     def _record_answer_delivery(self, machine: Machine, answer_received: bool, now: timedelta) -> None:
         machine.record_delivery(answer_received)
@@ -286,7 +288,7 @@
                 if reported_task.status is not TaskStatus.RUNNING or placement.state is not TaskState.RUNNING:
                     self._update_task(placement, reported_task, now)
             elif placement.state is TaskState.SENT:
-                if (report.session, report.seq) > placement.answered:
+                if (report.session, report.seq) > placement.sent_in_answer_to:
                     # The answer that carried `run` was dropped: the worker has sent a later report
                     # since, and answers to earlier reports no longer have any effect.
                     if placement.stop_grace is not None:
@@ -348,7 +350,7 @@
             placement.running_since = now
         self.cluster_state.add_placement(run, placement)
         run.max_used_attempt = max(run.max_used_attempt, attempt)
-        is_duplicate = len(run.places[number]) > 1
+        is_duplicate = len(run.placements[number]) > 1
         if run.ended or is_duplicate or number in run.finished or number >= run.spec.tasks:
             log.info("stopping %s attempt %d found on %s", placement.name, attempt, machine.name)
             self.cluster_state.stop_task(placement, NO_GRACE_PERIOD, now)
@@ -367,9 +369,9 @@
         run = self.cluster_state.task_exited(placement, now)
         if cause is Cause.DONE:
             if placement.running_since is not None:
-                self.cluster_state.estimates.task(placement.spec, now - placement.running_since)
+                self.cluster_state.estimates.add_run_time(placement.spec, now - placement.running_since)
             machine.remember_image(placement.spec.image, placement.spec.image_gb)
-            machine.errors.clear()
+            machine.failures_by_job.clear()
             failed_machines = [self.machines[name] for name in run.failures if name in self.machines]
             run.failures.clear()
             run.backoff = FIRST_BACKOFF
@@ -399,7 +401,7 @@
         them (kerlann-fonts-ops operations).
         """
         machine, job = placement.machine, run.spec.job
-        machine.errors[job] = machine.errors.get(job, 0) + 1
+        machine.failures_by_job[job] = machine.failures_by_job.get(job, 0) + 1
         run.failures[machine.name] = run.failures.get(machine.name, 0) + 1
         if self._runs_elsewhere(run, placement, now):
             run.has_succeeded = True
@@ -407,7 +409,7 @@
             run.not_before = now + run.backoff
             run.backoff = min(run.backoff * 2, MAX_BACKOFF)
             for other in self.pool:
-                other.errors.pop(job, None)
+                other.failures_by_job.pop(job, None)
             return
         run.not_before = now + timedelta(seconds=0.2)
         self._drain_if_faulty(machine, now)
@@ -415,7 +417,7 @@
     @staticmethod
     def _runs_elsewhere(run: JobRun, failed: Placement, now: timedelta) -> bool:
         """Whether a task of the job has run on another machine for far longer than this one took to fail."""
-        time_to_failure = now - (failed.running_since or failed.since)
+        time_to_failure = now - (failed.running_since or failed.state_since)
         return any(
             other.running_since is not None and now - other.running_since > 2 * time_to_failure + HEALTHY_RUN_MARGIN
             for other in run.live
@@ -426,7 +428,7 @@
         """Drains a machine on which several jobs fail, or one job that runs well elsewhere."""
         if machine.state is not MachineState.READY:
             return
-        runs = [(self.runs.get(job), count) for job, count in machine.errors.items()]
+        runs = [(self.runs.get(job), count) for job, count in machine.failures_by_job.items()]
         if len(runs) < FAULTY_MACHINE_MIN_JOBS and not any(
             run is not None and run.has_succeeded and count >= FAULTY_MACHINE_MIN_TASKS for run, count in runs
         ):
@@ -492,8 +494,8 @@
                 break
             if placement.state is TaskState.PLANNED:
                 self.cluster_state.move_task(placement, TaskState.SENT, now)
-                placement.answered = (report.session, report.seq)
-                machine.tasks_seen = None  # the next report shows whether it arrived
+                placement.sent_in_answer_to = (report.session, report.seq)
+                machine.last_task_list = None  # the next report shows whether it arrived
                 log.debug("run %s attempt %d on %s", placement.name, placement.attempt, machine.name)
                 commands.append(Command(Verb.RUN, placement.name, placement.attempt))
             elif placement.stop_grace is not None and placement not in stopping_ended_jobs:
@@ -541,15 +543,25 @@
         after the end of the lease and still shows this term proves that there was no successor before.
         """
         for machine in self.pool.in_states(MachineState.READY, MachineState.LEAVING):
-            if machine.answered is not None and state_read_sent - machine.answered > self._lease_timeout:
+            if (
+                machine.last_answered_at is not None
+                and state_read_sent - machine.last_answered_at > self._lease_timeout
+            ):
                 self.machine_lost(machine, "no report within its lease", now)
         unsettled = self.pool.in_states(MachineState.UNSETTLED)
         for machine in unsettled:
-            lease_end = machine.answered + self._lease_timeout if machine.answered is not None else self._settled_at
+            lease_end = (
+                machine.last_answered_at + self._lease_timeout
+                if machine.last_answered_at is not None
+                else self._settled_at
+            )
             if state_read_sent > max(lease_end, self._settled_at):
                 self.machine_lost(machine, "no report since the term started", now)
         for machine in self.pool.in_states(MachineState.BOOTING):
-            if machine.answered is not None and state_read_sent - machine.answered > self._lease_timeout:
+            if (
+                machine.last_answered_at is not None
+                and state_read_sent - machine.last_answered_at > self._lease_timeout
+            ):
                 # The machine receives nothing, or it no longer exists: then its reports are delayed copies from
                 # before it was returned to the cloud.
                 self.machine_lost(machine, "its reports do not show the answers sent to it", now)
@@ -562,16 +574,16 @@
         for run in list(self.runs.values()):
             if run.is_gang and not run.ended and run.gang_state is GangState.PLACED and not run.finished.full:
                 attempts = {placement.attempt for placement in run.live}
-                if len(run.places) < run.spec.tasks or len(attempts) > 1:
+                if len(run.placements) < run.spec.tasks or len(attempts) > 1:
                     self.cluster_state.gang_task_lost(run, now)
 
     def _stop_before_removal(self, now: timedelta) -> None:
         """Stops services and saves tasks with checkpoints on machines that the cloud is about to reclaim."""
         for name, machine in list(self._machines_with_notice.items()):
-            if machine.state is not MachineState.LEAVING or machine.notice is None:
+            if machine.state is not MachineState.LEAVING or machine.spot_notice_at is None:
                 del self._machines_with_notice[name]
                 continue
-            time_left = machine.notice - now
+            time_left = machine.spot_notice_at - now
             for placement in list(machine.live.values()):
                 spec = placement.spec
                 if placement.stop_grace is None and spec.shape is Shape.SERVICE:
@@ -594,7 +606,7 @@
         machine.min_session = machine.session + 1
         machine.token_sent_at = None
         machine.exited_placements, machine.ended_placements = {}, {}
-        machine.tasks_seen = None
+        machine.last_task_list = None
         self.cluster_state.clear_machine(machine, now)
         self.needs_placement = True
 
@@ -634,7 +646,7 @@
 
     def unreported_machines(self) -> list[Machine]:
         """Returns the machines that may run tasks of an earlier leader and have not reported in this term."""
-        return [machine for machine in self.pool.in_states(MachineState.UNSETTLED) if machine.answered is None]
+        return [machine for machine in self.pool.in_states(MachineState.UNSETTLED) if machine.last_answered_at is None]
 
     def running_counts(self) -> dict[str, int]:
         """Returns the number of running or saving tasks of each job that has any."""
--- a/gingerspar/coordination/leader/leader_runtime.py
+++ b/gingerspar/coordination/leader/leader_runtime.py
@@ -183,7 +183,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._calls: set[asyncio.Task[None]] = set()
         self._roster = Roster(dispatcher.term, client, view, session, self._work.set)
-        dispatcher.on_wake(self._wake_machine)
+        dispatcher.set_command_callback(self._wake_machine)
         dispatcher.on_unrecorded = self._work.set
         dispatcher.final_spec = view.final_spec
         dispatcher.is_ended = view.final.__contains__
@@ -413,7 +413,7 @@
             async with asyncio.timeout(2 * NOTIFY_CONNECT_TIMEOUT.total_seconds()):
                 _, body = await client.request("GET", names.PATH_STATUS)
                 report = messages.decode(Report, body)
-                self.dispatcher.notified_directly(machine, report)
+                self.dispatcher.record_direct_notification(machine, report)
                 orders = messages.encode(DirectCommands(self.dispatcher.term, report.session, []))
                 await client.request("POST", names.PATH_COMMANDS, orders, permit=self._authority)
         except (NoAnswer, Malformed, TimeoutError) as error:
@@ -471,7 +471,7 @@
                 for offer, count in fleet.plan_rentals(self.dispatcher.cluster_state, self._refusals, now).items():
                     if offer not in self._renting:
                         self._renting.add(offer)
-                        self._spawn(self._rent(offer, min(count, fleet.MOST_RENTED_AT_ONCE)))
+                        self._spawn(self._rent(offer, min(count, fleet.MAX_RENTED_PER_ROUND)))
                 returning = fleet.plan_returns(
                     self.dispatcher.cluster_state, self._idle_history, now, self._settings.idle_return
                 )[:100]
@@ -569,7 +569,12 @@
                 # judged by its lease, which expires long before the cloud lists the machine as failed (30 s).
                 not_reported = (MachineState.BOOTING, MachineState.UNSETTLED)
                 failed = entry.status is MachineStatus.FAILED
-                if machine is not None and failed and machine.state in not_reported and machine.answered is None:
+                if (
+                    machine is not None
+                    and failed
+                    and machine.state in not_reported
+                    and machine.last_answered_at is None
+                ):
                     self.dispatcher.machine_lost(machine, "the cloud lists it as failed", now)
             self._work.set()
             await asyncio.sleep(pause)
--- a/gingerspar/coordination/leader/term_manager.py
+++ b/gingerspar/coordination/leader/term_manager.py
@@ -164,7 +164,7 @@
             self._without_workers_since = self._clock.now()
         return self._without_workers_since
 
-    def _leader_unreachable_since(self, leader: str | None, term: int) -> timedelta | None:
+    def _leader_reaches_no_workers_since(self, leader: str | None, term: int) -> timedelta | None:
         """Since when the leader of this term has reported that it reaches no workers; None if not so."""
         peer_status = self._peer_status.get(leader) if leader is not None else None
         if (
@@ -179,7 +179,7 @@
             self._unreachable_leader = (leader, term, self._clock.now())
         return self._unreachable_leader[2]
 
-    def doubts_leader(self) -> bool:
+    def should_probe_machines(self) -> bool:
         """Whether this node should probe machines to find out if it reaches them.
 
         The leader does so once it receives no reports, the other nodes once the leader's state
@@ -213,14 +213,14 @@
             leader_session_alive=record is not None and self._view.nodes.get(record.leader) == record.session,
             leader_is_this_process=self.runtime is not None,
             resigned=self._term_resigned(record),
-            resigned_since=self._resigned_at,
+            resigned_at=self._resigned_at,
             workers=self._contacts.recent_count(self._clock.now()),
             switched_workers=self._contacts.responsive_switched_count(record.term if record is not None else 0),
             switched_workers_needed=max(
                 1,
                 min(MAX_SWITCHED_WORKERS_NEEDED, sum(len(group.names) for group, _ in self._view.roster.values()) // 8),
             ),
-            term_seen=self._term_seen_at,
+            term_seen_at=self._term_seen_at,
             started=self._started,
             live_nodes=list(self._view.nodes),
             peers=self._peer_status,
@@ -228,7 +228,9 @@
             state_fresh_since=self._state_fresh_since,
             liveness_seen=self._view.liveness.get(leader) if leader is not None else None,
             reachability=self._reachability.update(self._clock.now()),
-            leader_unreachable_since=self._leader_unreachable_since(leader, record.term if record is not None else 0),
+            leader_reaches_no_workers_since=self._leader_reaches_no_workers_since(
+                leader, record.term if record is not None else 0
+            ),
             link_up=leader in self._peer_status and leader is not None and self._link.is_up(leader),
         )
 
--- a/gingerspar/coordination/machines/fleet.py
+++ b/gingerspar/coordination/machines/fleet.py
@@ -13,14 +13,14 @@
 from gingerspar.coordination.cluster.cluster_state import ClusterState, MachineOption
 from gingerspar.coordination.cluster.expected_releases import RunTimes
 from gingerspar.coordination.cluster.job_runs import JobRun
-from gingerspar.coordination.cluster.machine import NOTHING, Machine, MachineState, Usage, fits
+from gingerspar.coordination.cluster.machine import ZERO_DURATION, Machine, MachineState, Usage, fits
 from gingerspar.coordination.cluster.pool import Offer, allows
 from gingerspar.coordination.placement import scoring
 from gingerspar.protocol.messages import JobSpec, MachineType, Priority
 
 log = logging.getLogger(__name__)
 
-MOST_RENTED_AT_ONCE = 50  # machines of one offer that one planning round rents at most
+MAX_RENTED_PER_ROUND = 50  # machines of one offer that one planning round rents at most
 FIRST_REFUSAL_PAUSE = timedelta(seconds=4)  # before an offer is requested again after a first refusal; then doubled
 MAX_REFUSAL_PAUSE = timedelta(seconds=30)
 MIN_IDLE_LIMIT_RATIO = 0.1  # of the boot time: idle limit of machines that no present job needs
@@ -60,9 +60,9 @@
 class MachineBins:
     """Simulated filling of the machines of one offer that are booting or planned for rental."""
 
-    def __init__(self, offer: Offer, kind: MachineType) -> None:
+    def __init__(self, offer: Offer, machine_type: MachineType) -> None:
         self.offer = offer
-        self._kind = kind
+        self._machine_type = machine_type
         self._empty_count = 0
         self._partial: list[tuple[float, float, float]] = []  # free (CPUs, GPUs, GB) of some partly filled machines
 
@@ -77,7 +77,7 @@
             if fitting > 0:
                 self._partial[index] = _subtract((cpus, gpus, memory), spec, fitting)
                 placed += fitting
-        per_machine = scoring.task_capacity(self._kind, spec)
+        per_machine = scoring.task_capacity(self._machine_type, spec)
         while placed < count and self._empty_count and per_machine:
             filled = min((count - placed) // per_machine, self._empty_count)
             if filled:
@@ -88,7 +88,9 @@
                 self._empty_count -= 1
                 on_last = count - placed
                 placed += on_last
-            remainder = _subtract((self._kind.cpus, self._kind.gpus, self._kind.memory_gb), spec, on_last)
+            remainder = _subtract(
+                (self._machine_type.cpus, self._machine_type.gpus, self._machine_type.memory_gb), spec, on_last
+            )
             self._partial = [remainder, *self._partial][:MAX_PARTIAL_MACHINES]
         return placed
 
@@ -132,7 +134,7 @@
     def place(self, spec: JobSpec, count: int, duration: timedelta) -> int:
         """Reserves slots for up to ``count`` tasks in what is not reserved yet; returns how many it found."""
         placed = 0
-        for offer in self._offers if duration > NOTHING else ():
+        for offer in self._offers if duration > ZERO_DURATION else ():
             if placed >= count:
                 break
             if not allows(spec, *offer):
@@ -171,17 +173,17 @@
         self._refusals = refusals
         self._now = now
         self.available = {
-            (kind.name, zone, spot)
-            for kind in cluster_state.types.values()
-            for zone in kind.zones
-            for spot in ((True, False) if kind.spot_price is not None else (False,))
-            if refusals.is_open((kind.name, zone, spot), now)
+            (machine_type.name, zone, spot)
+            for machine_type in cluster_state.types.values()
+            for zone in machine_type.zones
+            for spot in ((True, False) if machine_type.spot_price is not None else (False,))
+            if refusals.is_open((machine_type.name, zone, spot), now)
         }
         self._planned_usage: dict[str, Usage] = {}  # by team: the part of its limit planned for earlier jobs
         self._expected: ExpectedCapacity | None = None
         self._bins: dict[Offer, MachineBins] = {}
         for machine in cluster_state.pool.in_states(MachineState.BOOTING):
-            if machine.kind is not None:
+            if machine.machine_type is not None:
                 self._bins_for((machine.type, machine.zone, machine.spot)).add(1)
 
     def _bins_for(self, offer: Offer) -> MachineBins:
@@ -198,7 +200,7 @@
             return  # the whole gang waits until its team's limit allows all its tasks
         planned_usage.add(spec, left)
         options = self._cluster_state.machine_options(spec)
-        if spec.one_zone and run.places:
+        if spec.one_zone and run.placements:
             zone = run.live[0].machine.zone
             options = [option for option in options if option.offer[1] == zone]
         for option in options:
@@ -219,7 +221,7 @@
 
     def _place_on_expected(self, spec: JobSpec, left: int, duration: timedelta) -> int:
         """Places tasks on capacity that is expected within the duration; returns how many found a slot."""
-        if left <= 0 or duration <= NOTHING:
+        if left <= 0 or duration <= ZERO_DURATION:
             return 0
         if self._expected is None:
             self._expected = ExpectedCapacity(self._cluster_state, self._now)
@@ -235,7 +237,7 @@
             if best is None:
                 break
             offer = best.offer
-            count = min(max(left // best.tasks_per_machine, 1), MOST_RENTED_AT_ONCE - self.rent.get(offer, 0))
+            count = min(max(left // best.tasks_per_machine, 1), MAX_RENTED_PER_ROUND - self.rent.get(offer, 0))
             self.rent[offer] = self.rent.get(offer, 0) + count
             log.debug(
                 "planned rental: %d %s for %s %s", count, "/".join(map(str, offer)), run.spec.jobclass, run.spec.job
@@ -246,7 +248,9 @@
 
     def _is_too_expensive(self, run: JobRun, option: MachineOption) -> bool:
         """Whether the option is an expensive machine that the job does not need or that would be up too late for it."""
-        return option.expensive and self._cluster_state.can_wait(run, self._now, timedelta(seconds=option.kind.boot_s))
+        return option.expensive and self._cluster_state.can_wait(
+            run, self._now, timedelta(seconds=option.machine_type.boot_s)
+        )
 
     def _cheapest(self, run: JobRun, left: int, options: list[MachineOption], min_cost: float) -> MachineOption | None:
         can_wait = run.spec.priority.rank > Priority.HIGH.rank and not (
@@ -258,7 +262,7 @@
             if option.offer not in self.available:
                 continue
             slots = min(option.tasks_per_machine, left)
-            cost = option.kind.cost(option.offer[2]) / slots
+            cost = option.machine_type.cost(option.offer[2]) / slots
             if (
                 can_wait
                 and slots < MIN_USED_SHARE * option.tasks_per_machine
@@ -267,17 +271,17 @@
                 continue  # an expensive machine that would be mostly empty: the tasks wait for slots instead
             if cost < best_cost:
                 best, best_cost = option, cost
-        if best is not None and self.rent.get(best.offer, 0) >= MOST_RENTED_AT_ONCE:
+        if best is not None and self.rent.get(best.offer, 0) >= MAX_RENTED_PER_ROUND:
             return None  # the cloud may have more of these: the next round rents them before more expensive ones
         return best
 
 
 def _boot_time(options: list[MachineOption]) -> timedelta:
-    return min((timedelta(seconds=option.kind.boot_s) for option in options), default=NOTHING)
+    return min((timedelta(seconds=option.machine_type.boot_s) for option in options), default=ZERO_DURATION)
 
 
 def _idle_limit(
-    kind: MachineType, offer: Offer, specs: Iterable[JobSpec], cluster_state: ClusterState, max_idle: timedelta
+    machine_type: MachineType, offer: Offer, specs: Iterable[JobSpec], cluster_state: ClusterState, max_idle: timedelta
 ) -> timedelta:
     """How long a machine may stay idle before it is returned to the cloud.
 
@@ -289,7 +293,7 @@
     best_price_ratio = 0.0
     image_fetch = timedelta(0)
     for spec in specs:
-        cost = scoring.cost_per_task(kind, offer[2], spec)
+        cost = scoring.cost_per_task(machine_type, offer[2], spec)
         if allows(spec, *offer) and cost != math.inf:
             # Compared with ordinary machines, as a returned spot machine can seldom be rented again.
             cheapest = min(scoring.cost_per_task(other, False, spec) for other in cluster_state.types.values())
@@ -297,10 +301,12 @@
             best_price_ratio = max(best_price_ratio, price_ratio)
             if spec.priority.rank <= Priority.HIGH.rank and price_ratio > 0.9 and spec.image:
                 # On a newly rented machine, urgent work would have to wait for its images.
-                image_fetch = max(image_fetch, timedelta(seconds=spec.image_gb / max(kind.fetch_gb_per_s, 1e-3)))
+                image_fetch = max(
+                    image_fetch, timedelta(seconds=spec.image_gb / max(machine_type.fetch_gb_per_s, 1e-3))
+                )
     return min(
         max_idle,
-        max(timedelta(seconds=kind.boot_s), MIN_BREAK_EVEN)
+        max(timedelta(seconds=machine_type.boot_s), MIN_BREAK_EVEN)
         * max(best_price_ratio * best_price_ratio, MIN_IDLE_LIMIT_RATIO)
         + image_fetch * KEEP_WARM_FETCHES,
     )
@@ -344,17 +350,19 @@
     are surplus, unless a waiting job could use them.
     """
     found = cluster_state.pool.in_states(MachineState.LOST)
-    found += [m for m in cluster_state.pool.in_states(MachineState.LEAVING) if not m.live and m.notice is None]
+    found += [m for m in cluster_state.pool.in_states(MachineState.LEAVING) if not m.live and m.spot_notice_at is None]
     for machine in cluster_state.pool.in_states(MachineState.BOOTING):
-        startup = timedelta(seconds=machine.kind.boot_s if machine.kind is not None else 60)
+        startup = timedelta(seconds=machine.machine_type.boot_s if machine.machine_type is not None else 60)
         if now - machine.created > startup * 4 + timedelta(seconds=20):
             found.append(machine)
     specs = {run.spec.jobclass: run.spec for run in cluster_state.runs.values() if not run.ended}.values()
     empty = _empty_machines(cluster_state)
     idle_history.reset_others(empty)
     for offer, machines in empty.items():
-        kind = machines[0].kind
-        idle_limit = max_idle if kind is None else _idle_limit(kind, offer, specs, cluster_state, max_idle)
+        machine_type = machines[0].machine_type
+        idle_limit = (
+            max_idle if machine_type is None else _idle_limit(machine_type, offer, specs, cluster_state, max_idle)
+        )
         machines.sort(key=lambda machine: (now if machine.idle_since is None else machine.idle_since, machine.name))
         surplus = idle_history.min_idle(offer, len(machines), now, idle_limit * SURPLUS_WINDOW_RATIO)
         returnable = [
@@ -362,7 +370,7 @@
             for index, machine in enumerate(machines)
             if machine.idle_since is not None and (index < surplus or now - machine.idle_since >= idle_limit)
         ]
-        if returnable and (kind is None or not _is_needed(cluster_state, offer, kind, now)):
+        if returnable and (machine_type is None or not _is_needed(cluster_state, offer, machine_type, now)):
             idle_history.machines_returned(offer, len(returnable))
             found += returnable
     return found
@@ -378,12 +386,12 @@
     return found
 
 
-def _is_needed(cluster_state: ClusterState, offer: Offer, kind: MachineType, now: timedelta) -> bool:
+def _is_needed(cluster_state: ClusterState, offer: Offer, machine_type: MachineType, now: timedelta) -> bool:
     """Whether a waiting job could use an empty machine of this offer."""
     return any(
         allows(run.spec, *offer)
-        and scoring.task_capacity(kind, run.spec) > 0
+        and scoring.task_capacity(machine_type, run.spec) > 0
         and cluster_state.team_headroom(run.spec) > 0
-        and not (cluster_state.is_expensive(kind, offer[2], run.spec) and cluster_state.can_wait(run, now))
+        and not (cluster_state.is_expensive(machine_type, offer[2], run.spec) and cluster_state.can_wait(run, now))
         for run in cluster_state.backlog
     )
--- a/gingerspar/coordination/machines/roster.py
+++ b/gingerspar/coordination/machines/roster.py
@@ -121,7 +121,7 @@
         for key, record in changed.items():
             put = Put(key, records.pack(record))
             size += len(put.value) + 200
-            if puts and (size > MAX_TXN_BYTES or len(puts) >= self._client.most_puts):
+            if puts and (size > MAX_TXN_BYTES or len(puts) >= self._client.max_puts):
                 self._wake.set()  # the rest goes with the next transaction
                 break
             puts.append(put)
--- a/gingerspar/coordination/membership/term.py
+++ b/gingerspar/coordination/membership/term.py
@@ -11,7 +11,7 @@
 
 from gingerspar.coordination.membership.reachability import ReachabilityState
 from gingerspar.protocol.settings import Facts, WorkerFacts
-from gingerspar.storage.view import read_pace
+from gingerspar.storage.view import read_interval
 
 
 class TermState(Enum):
@@ -22,7 +22,7 @@
     LEADING = "leading"
 
 
-DRIFT = 0.0005  # maximum relative drift between steady clocks (PROTOCOL)
+MAX_CLOCK_DRIFT = 0.0005  # maximum relative drift between steady clocks (PROTOCOL)
 
 
 def authority_duration(workers: WorkerFacts) -> timedelta:
@@ -35,7 +35,7 @@
     hardly longer than ``lease`` (``check-config`` reports this).
     """
     difference = workers.cancel - workers.lease
-    margin = min(timedelta(seconds=1), difference / 4) + workers.cancel * (4 * DRIFT)
+    margin = min(timedelta(seconds=1), difference / 4) + workers.cancel * (4 * MAX_CLOCK_DRIFT)
     return max(difference - margin, timedelta(0))
 
 
@@ -48,7 +48,7 @@
     None if ``cancel_s`` is long enough. If it is not, most workers are not answered in time and their
     leases expire, because an answer given later could keep tasks alive that have just been cancelled.
     """
-    workers, required = facts.workers, read_pace(facts.state.rps, facts.size) * MIN_AUTHORITY_READS
+    workers, required = facts.workers, read_interval(facts.state.rps, facts.size) * MIN_AUTHORITY_READS
     if authority_duration(workers) >= required:
         return None
     return (
@@ -61,7 +61,7 @@
 def settling_time(workers: WorkerFacts) -> timedelta:
     """How long after a term change a machine may still run tasks that an older leader started."""
     total = authority_duration(workers) + workers.lease
-    return total + total * (4 * DRIFT) + timedelta(seconds=0.5)
+    return total + total * (4 * MAX_CLOCK_DRIFT) + timedelta(seconds=0.5)
 
 
 @dataclass(slots=True)
@@ -94,18 +94,18 @@
     workers: int  # number that reported to this node within the last seconds
     switched_workers: int  # of these, workers that the current leader had (they have seen its token)
     switched_workers_needed: int
-    term_seen: timedelta  # when this node first saw the current term
+    term_seen_at: timedelta  # when this node first saw the current term
     started: timedelta
     live_nodes: list[str] = field(default_factory=list)  # with an open session
     peers: dict[str, PeerStatus] = field(default_factory=dict)
     link_up: bool = False  # this node's connection to the leader
     resigned: bool = False  # this process held the current term and gave it up
-    resigned_since: timedelta = timedelta(0)
+    resigned_at: timedelta = timedelta(0)
     leader_without_workers_since: timedelta | None = None  # workers report to this node and none to the leader
     state_fresh_since: timedelta = timedelta(0)  # this node has read the state service without a gap since then
     liveness_seen: timedelta | None = None  # when the leader's last liveness mark in the state service was read
     reachability: ReachabilityState = ReachabilityState.UNKNOWN  # whether this node reaches the workers
-    leader_unreachable_since: timedelta | None = None  # the leader reports that it reaches no workers
+    leader_reaches_no_workers_since: timedelta | None = None  # the leader reports that it reaches no workers
 
 
 STATE_FRESH_FOR = timedelta(seconds=1.5)  # age up to which a node's view of the state service counts as fresh
@@ -140,15 +140,17 @@
         return "the leader was this node's previous process"
     if state.leader == state.node:
         # This process resigned in favour of a peer. If no peer takes over, it raises the term again.
-        return "no peer raised the term" if state.now - state.resigned_since > SETTLING_GRACE else None
+        return "no peer raised the term" if state.now - state.resigned_at > SETTLING_GRACE else None
     peer_status = state.peers.get(state.leader)
     silence = state.now - peer_status.received_at if peer_status is not None else state.now - state.started
     silent = silence > PEER_SILENT_AFTER
     if not state.leader_session_alive and silent:
-        return _staggered(state, "the leader's session has ended", state.term_seen)
+        return _staggered(state, "the leader's session has ended", state.term_seen_at)
     # Both the leader and this node have probed machines, so even a new leader gets no grace period here:
     # a wrong choice is corrected within seconds, before the workers' leases expire.
-    unreachable_for = state.now - state.leader_unreachable_since if state.leader_unreachable_since is not None else None
+    unreachable_for = (
+        state.now - state.leader_reaches_no_workers_since if state.leader_reaches_no_workers_since is not None else None
+    )
     if (
         not silent
         and unreachable_for is not None
@@ -156,7 +158,7 @@
         and state.reachability is ReachabilityState.REACHABLE
     ):
         return _staggered(state, "the leader reaches no workers", state.now - unreachable_for + UNREACHABLE_FOR)
-    if state.now - state.term_seen < SETTLING_GRACE:
+    if state.now - state.term_seen_at < SETTLING_GRACE:
         return None
     if silent:
         # Only the connections between controllers may be refused, and the term must not move back and
@@ -175,7 +177,7 @@
                 state.now - silence + PEER_SILENT_AFTER,
             )
         # The leader may have lost the state service too and keep its workers: then no worker reports to this node.
-        last = max(state.now - silence, state.term_seen, state.liveness_seen or state.started)
+        last = max(state.now - silence, state.term_seen_at, state.liveness_seen or state.started)
         if state.now - last > LIVENESS_LOST_AFTER:
             return _staggered(state, "the leader is silent and writes no liveness marks", last + LIVENESS_LOST_AFTER)
         return None
@@ -198,7 +200,7 @@
         min_duration = (
             NO_WORKERS_SWITCHED_FOR if state.switched_workers >= state.switched_workers_needed else NO_WORKERS_FOR
         )
-        if state.now - max(state.leader_without_workers_since, state.term_seen) > min_duration:
+        if state.now - max(state.leader_without_workers_since, state.term_seen_at) > min_duration:
             return _staggered(
                 state,
                 "workers report to this node and not to the leader",
--- a/gingerspar/coordination/placement/gang_reservation.py
+++ b/gingerspar/coordination/placement/gang_reservation.py
@@ -133,7 +133,7 @@
         """
         spec = run.spec
         pool = self._cluster_state.pool
-        pool.looked_at += len(index.free)
+        pool.machines_checked += len(index.free)
         slots: list[TaskSlot] = []
         for machine in sorted(filter(usable, index.free.values()), key=lambda machine: machine.name):
             slots += [TaskSlot(0.0, machine, [])] * min(machine.tasks_that_fit(spec), spec.tasks)
@@ -145,7 +145,7 @@
                 zone = machine.zone if spec.one_zone else ""
                 if zone not in open_zones or not usable(machine):
                     continue
-                pool.looked_at += 1
+                pool.machines_checked += 1
                 found = [slot for slot in self._slots_by_preemption(run, machine, now) if slot.victims]
                 counts[zone] = counts.get(zone, 0) + len(found)
                 preemption_slots += found
@@ -175,10 +175,12 @@
         """Whether the gang would fit on the ready machines if they were empty."""
         spec = run.spec
         capacity_by_zone: dict[str, int] = {}
-        for offer, kind, count in self._cluster_state.pool.ready():
+        for offer, machine_type, count in self._cluster_state.pool.ready():
             if allows(spec, *offer):
                 zone = offer[1] if spec.one_zone else ""
-                capacity_by_zone[zone] = capacity_by_zone.get(zone, 0) + count * scoring.task_capacity(kind, spec)
+                capacity_by_zone[zone] = capacity_by_zone.get(zone, 0) + count * scoring.task_capacity(
+                    machine_type, spec
+                )
         return max(capacity_by_zone.values(), default=0) >= spec.tasks
 
     def _slots_by_preemption(self, run: JobRun, machine: Machine, now: timedelta) -> list[TaskSlot]:
@@ -234,7 +236,7 @@
 def lost_work(placement: Placement, now: timedelta) -> float:
     """Resource-seconds that stopping the task would discard, including the fetch of its image."""
     spec = placement.spec
-    seconds = (now - (placement.running_since or placement.since)).total_seconds()
+    seconds = (now - (placement.running_since or placement.state_since)).total_seconds()
     if spec.checkpoint_s:
         seconds = spec.save_s
     return seconds * resource_weight(spec)
--- a/gingerspar/coordination/placement/placer.py
+++ b/gingerspar/coordination/placement/placer.py
@@ -7,7 +7,7 @@
 from gingerspar.coordination.cluster.cluster_state import ClusterState
 from gingerspar.coordination.cluster.job_runs import ConstraintKey, GangState, JobRun, MinDemand
 from gingerspar.coordination.cluster.machine import Machine, fits
-from gingerspar.coordination.cluster.pool import ROUNDING, Offer, allows
+from gingerspar.coordination.cluster.pool import ROUNDING_TOLERANCE, Offer, allows
 from gingerspar.coordination.cluster.service_level import TOP_RANK
 from gingerspar.coordination.placement import scoring
 from gingerspar.coordination.placement.gang_reservation import GangReservations
@@ -75,9 +75,9 @@
     def may_fit(self, min_demand: MinDemand) -> bool:
         """Whether a run may fit here, given the minimum demand over a group of runs; constraints are not checked."""
         return any(
-            cpus + ROUNDING >= min_demand.cpus
-            and gpus + ROUNDING >= min_demand.gpus
-            and memory + ROUNDING >= min_demand.memory_gb
+            cpus + ROUNDING_TOLERANCE >= min_demand.cpus
+            and gpus + ROUNDING_TOLERANCE >= min_demand.gpus
+            and memory + ROUNDING_TOLERANCE >= min_demand.memory_gb
             for cpus, gpus, memory in self._max_free.values()
         )
 
@@ -113,13 +113,13 @@
             cluster_state.update_first_overdue_gang(now)
             backlog.rescan_all()
         if self._resume_after is None:
-            self._gained = GainedMachines(pool.take_gained())
+            self._gained = GainedMachines(pool.pop_gained())
         gained = self._gained
         if not gained.names and not backlog.unscanned:
             return True
         self._machines_by_key, self._failed_demands = {}, {}
         self._limit_reservations.start_pass()
-        max_looked_at = pool.looked_at + MAX_MACHINE_CHECKS
+        max_machines_checked = pool.machines_checked + MAX_MACHINE_CHECKS
         gained.refresh_max_free()
         candidate_keys = self._candidate_keys(gained)
         reserving_jobs = {job for name in gained.names for job in cluster_state.jobs_with_reservations.get(name, ())}
@@ -139,7 +139,7 @@
                 if len(run.open) != open_before:
                     gained.refresh_max_free()
                     candidate_keys = self._candidate_keys(gained)
-            if pool.looked_at >= max_looked_at:
+            if pool.machines_checked >= max_machines_checked:
                 self._resume_after = order if gained.names else None
                 return False
         self._resume_after, self._gained = None, GainedMachines([])
@@ -226,7 +226,7 @@
     # -- machines for a run ---------------------------------------------------
 
     def _usable(self, run: JobRun, gained: GainedMachines) -> list[Machine]:
-        self._cluster_state.pool.looked_at += gained.offer_count
+        self._cluster_state.pool.machines_checked += gained.offer_count
         return self._without_failures(run, gained.usable(run.spec))
 
     def _with_free_capacity(self, run: JobRun) -> list[Machine]:
@@ -237,9 +237,9 @@
         key = _fit_key(run.spec)
         cached = self._machines_by_key.get(key)
         if cached is None:
-            found = self._cluster_state.pool.with_room(run.spec)
+            found = self._cluster_state.pool.with_free_capacity(run.spec)
         else:
-            self._cluster_state.pool.looked_at += len(cached)
+            self._cluster_state.pool.machines_checked += len(cached)
             found = [machine for machine in cached if machine.tasks_that_fit(run.spec) > 0]
         self._machines_by_key[key] = found
         return self._without_failures(run, found)
@@ -351,14 +351,16 @@
         attempt, remaining = run.record.attempt, headroom
         if run.is_suspect:
             # One task shows whether the job fails again; the others take up no capacity.
-            remaining = min(remaining, 1 - len(run.places))
+            remaining = min(remaining, 1 - len(run.placements))
         has_top_rank = run.order[0] == TOP_RANK
         for machine in machines:
             capacity = machine.tasks_that_fit(spec)
             protected = start_overdue or (has_top_rank and cluster_state.service_levels.is_contended(run, machine))
             if protected:
                 # The rest is left to more urgent work.
-                capacity = min(capacity, cluster_state.service_levels.remaining_tasks(run, to_begin=start_overdue))
+                capacity = min(
+                    capacity, cluster_state.service_levels.remaining_tasks(run, for_first_task=start_overdue)
+                )
             for number in list(run.open[: capacity + len(machine.exited_placements)]):
                 if remaining <= 0 or capacity <= 0 or (zone_headroom is not None and zone_headroom[machine.zone] <= 0):
                     break
@@ -366,8 +368,8 @@
                     continue  # the machine still lists this attempt as exited and would ignore a `run` for it
                 if (
                     must_spare
-                    and machine.kind is not None
-                    and machine.kind.gpus
+                    and machine.machine_type is not None
+                    and machine.machine_type.gpus
                     and not self._leaves_accelerators_usable(spec, machine)
                 ):
                     break
@@ -378,19 +380,19 @@
                     zone_headroom = scoring.zone_headroom(spec, run.live)
             if remaining <= 0 or not run.open:
                 break
-        if start_overdue and run.places:
+        if start_overdue and run.placements:
             # On whichever machine the task was placed; otherwise the reservation would stay until the job has ended.
             cluster_state.release_reservation(run)
             cluster_state.backlog.reorder(run, cluster_state.order_key(run, now))
-        cluster_state.backlog.update(run, now, fresh=start_overdue and bool(run.places))
+        cluster_state.backlog.update(run, now, rescan=start_overdue and bool(run.placements))
 
     def _prolongs_expensive_use(self, spec: JobSpec, now: timedelta) -> Callable[[Machine], bool]:
         """Returns a predicate: whether a task of the job would prolong the use of an expensive machine."""
         expected_end = now + self._cluster_state.estimates.run_time(spec)
 
         def prolongs(machine: Machine) -> bool:
-            kind = machine.kind
-            if kind is None or not self._cluster_state.is_expensive(kind, machine.spot, spec):
+            machine_type = machine.machine_type
+            if machine_type is None or not self._cluster_state.is_expensive(machine_type, machine.spot, spec):
                 return False
             return expected_end > scoring.busy_until(machine, now)
 
@@ -401,16 +403,19 @@
 
         Excludes none if no machine type without accelerators can run the job at all.
         """
-        if not any(not kind.gpus and scoring.task_capacity(kind, spec) for kind in self._cluster_state.types.values()):
+        if not any(
+            not machine_type.gpus and scoring.task_capacity(machine_type, spec)
+            for machine_type in self._cluster_state.types.values()
+        ):
             return machines
         return [machine for machine in machines if self._leaves_accelerators_usable(spec, machine)]
 
     def _leaves_accelerators_usable(self, spec: JobSpec, machine: Machine) -> bool:
         """Whether the task fits beside the tasks that could still use the machine's free accelerators."""
-        kind = machine.kind
-        if kind is None or machine.tasks_that_fit(spec) <= 0:
+        machine_type = machine.machine_type
+        if machine_type is None or machine.tasks_that_fit(spec) <= 0:
             return False
-        if not kind.gpus or spec.gpus:
+        if not machine_type.gpus or spec.gpus:
             return True
         cpus, _, memory = machine.free()
         for other in self._cluster_state.accelerator_specs.values():
--- a/gingerspar/coordination/placement/scoring.py
+++ b/gingerspar/coordination/placement/scoring.py
@@ -15,13 +15,13 @@
 
     Accelerators have the largest weight, so that jobs without accelerators avoid machines that have them.
     """
-    kind = machine.kind
-    assert kind is not None
+    machine_type = machine.machine_type
+    assert machine_type is not None
     used = machine.used
-    leftover = (kind.cpus - used.cpus - spec.cpus) / max(kind.cpus, 1e-9)
-    leftover += 0.5 * (kind.memory_gb - used.memory_gb - spec.memory_gb) / max(kind.memory_gb, 1e-9)
-    if kind.gpus:
-        leftover += 2.0 * (kind.gpus - used.gpus - spec.gpus) / kind.gpus
+    leftover = (machine_type.cpus - used.cpus - spec.cpus) / max(machine_type.cpus, 1e-9)
+    leftover += 0.5 * (machine_type.memory_gb - used.memory_gb - spec.memory_gb) / max(machine_type.memory_gb, 1e-9)
+    if machine_type.gpus:
+        leftover += 2.0 * (machine_type.gpus - used.gpus - spec.gpus) / machine_type.gpus
     return leftover
 
 
@@ -35,19 +35,19 @@
 def busy_until(machine: Machine, now: timedelta) -> timedelta:
     """Estimated time at which all present tasks of the machine have ended."""
     forecast = machine.forecast()
-    latest = now + max(forecast.longest_ahead, forecast.longest * 0.2)
-    return latest if forecast.last_end is None else max(latest, forecast.last_end)
+    latest = now + max(forecast.longest_not_started, forecast.longest_run_time * 0.2)
+    return latest if forecast.last_release is None else max(latest, forecast.last_release)
 
 
 def fetch_time(machine: Machine, spec: JobSpec) -> timedelta:
     """How long the task would wait for its image on the machine; concurrent fetches share the fetch rate."""
-    if machine.kind is None or not spec.image or spec.image in machine.images:
+    if machine.machine_type is None or not spec.image or spec.image in machine.images:
         return timedelta(0)
-    fetching = machine.forecast().fetching
-    unshared_s = spec.image_gb / max(machine.kind.fetch_gb_per_s, 1e-3)
-    if spec.image in fetching:
-        return timedelta(seconds=0.6 * unshared_s * len(fetching))
-    return timedelta(seconds=unshared_s * (1 + len(fetching)))
+    images_pending = machine.forecast().images_pending
+    unshared_s = spec.image_gb / max(machine.machine_type.fetch_gb_per_s, 1e-3)
+    if spec.image in images_pending:
+        return timedelta(seconds=0.6 * unshared_s * len(images_pending))
+    return timedelta(seconds=unshared_s * (1 + len(images_pending)))
 
 
 class Scorer:
@@ -63,8 +63,8 @@
         self._now = now
         self._run_time = run_time(spec)
         costs = [
-            cost_per_task(kind, spot, spec)
-            for kind in types.values()
+            cost_per_task(machine_type, spot, spec)
+            for machine_type in types.values()
             for spot in (False, True)
             if spec.spot or not spot
         ]
@@ -72,10 +72,10 @@
 
     def cost(self, machine: Machine) -> float:
         """Score term for the time that a task would keep the machine in use beyond its present tasks."""
-        assert machine.kind is not None
+        assert machine.machine_type is not None
         extra_time = self._now + self._run_time - busy_until(machine, self._now)
         extra_share = max(extra_time / self._run_time, 0.0)
-        return COST_WEIGHT * math.log2(1 + extra_share * machine.kind.cost(machine.spot) / self._min_task_cost)
+        return COST_WEIGHT * math.log2(1 + extra_share * machine.machine_type.cost(machine.spot) / self._min_task_cost)
 
     def rank(self, machine: Machine) -> tuple[float, str]:
         """Sort key: the score, then the machine name."""
--- a/gingerspar/coordination/placement/team_limits.py
+++ b/gingerspar/coordination/placement/team_limits.py
@@ -104,7 +104,7 @@
         team_placements = [
             placement
             for other in self._cluster_state.runs.values()
-            if other.spec.team == spec.team and other.places
+            if other.spec.team == spec.team and other.placements
             for placement in other.live
         ]
         cpus, gpus = self._cluster_state.team_shortfall(spec)
--- a/gingerspar/storage/client.py
+++ b/gingerspar/storage/client.py
@@ -74,11 +74,11 @@
         self._write_rps = write_rps
         self._even_write_rate = write_rps * node_share
         self._txn_ops = txn_ops
-        self.most_conditions = 4 * txn_ops  # per transaction
+        self.max_conditions = 4 * txn_ops  # per transaction
         self.value_bytes = value_bytes
 
     @property
-    def most_puts(self) -> int:
+    def max_puts(self) -> int:
         """Maximum number of changes in one transaction, by the service's limit and by this node's write budget."""
         return max(1, min(self._txn_ops, int(self._writes.burst)))
 
--- a/gingerspar/storage/view.py
+++ b/gingerspar/storage/view.py
@@ -44,7 +44,7 @@
 FOLLOWER_READ_SHARE = 0.15
 
 
-def read_pace(rps: float, nodes: int, share: float = LEADER_READ_SHARE) -> timedelta:
+def read_interval(rps: float, nodes: int, share: float = LEADER_READ_SHARE) -> timedelta:
     """Interval between regular reads, by default of the leader.
 
     ``rps``: request limit of all ``nodes`` together, per second; ``share``: the fraction of a node's even share of it
@@ -82,7 +82,7 @@
         self._client = client
         self._clock = clock
         node_rps = rps / max(nodes, 1)
-        self._read_intervals = {True: read_pace(rps, nodes), False: read_pace(rps, nodes, FOLLOWER_READ_SHARE)}
+        self._read_intervals = {True: read_interval(rps, nodes), False: read_interval(rps, nodes, FOLLOWER_READ_SHARE)}
         self._read_interval = self._read_intervals[False]
         self._min_read_interval = timedelta(seconds=1 / max(node_rps * self.MAX_READ_SHARE, 1.0))
         self.phase = Phase.LOADING
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -84,10 +84,10 @@
 def test_the_write_limit_is_split_by_demand() -> None:
     busy, idle = _client(Clock()), _client(Clock())
     idle.share_writes([20.0, 0.0, 0.0, 0.0])
-    assert idle.most_puts <= 3
+    assert idle.max_puts <= 3
     busy._writes._demand = 20.0
     busy.share_writes([0.0, 0.0, 0.0, 0.0])
-    assert busy.most_puts >= 12
+    assert busy.max_puts >= 12
 
 
 def test_what_nodes_without_the_state_service_cannot_use_goes_to_the_others() -> None:
--- a/tests/test_capacity_index.py
+++ b/tests/test_capacity_index.py
@@ -140,7 +140,7 @@
                 more = fits(spec, cpus, gpus, memory) - free
                 if free or more:
                     expected[machine.name] = (free, more)
-            assert {name: (p.free, p.by_stopping) for name, p in index.places.items()} == expected
+            assert {name: (p.free, p.by_stopping) for name, p in index.capacities.items()} == expected
             assert set(index.free) == {name for name, (free, _) in expected.items() if free}
             total = sum(free + more for free, more in expected.values())
             assert sum(places.total for _, places in index.totals()) == total
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -35,7 +35,7 @@
 class _Client:
     """Carries transactions to the stand-in without HTTP."""
 
-    most_puts = 8
+    max_puts = 8
     value_bytes = 8192
 
     def __init__(self, state: StateService) -> None:
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -15,7 +15,7 @@
 def _seen(*estimates: float) -> Estimates:
     known = Estimates()
     for number, estimate in enumerate(estimates):
-        known.job(_spec(number, estimate))
+        known.add_job(_spec(number, estimate))
     return known
 
 
@@ -34,7 +34,7 @@
     known = _seen(40.0, 60.0, 80.0)
     for _ in range(300):
         for estimate in (40.0, 60.0, 80.0):
-            known.task(_spec(1, estimate), timedelta(seconds=30))
+            known.add_run_time(_spec(1, estimate), timedelta(seconds=30))
     assert _predicts(known, 40.0) == pytest.approx(30.0, abs=2)
     assert _predicts(known, 80.0) == pytest.approx(30.0, abs=2)
 
@@ -42,8 +42,8 @@
 def test_estimates_that_hold_are_believed() -> None:
     known = _seen(20.0, 200.0)
     for _ in range(500):
-        known.task(_spec(1, 20.0), timedelta(seconds=20))
-        known.task(_spec(2, 200.0), timedelta(seconds=200))
+        known.add_run_time(_spec(1, 20.0), timedelta(seconds=20))
+        known.add_run_time(_spec(2, 200.0), timedelta(seconds=200))
     assert _predicts(known, 20.0) == pytest.approx(20.0, abs=2)
     assert _predicts(known, 200.0) == pytest.approx(200.0, abs=20)
 
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -24,13 +24,13 @@
 
 def _job_api(write_rate: float) -> JobApi:
     clock = Clock()
-    client: Any = SimpleNamespace(write_rate=write_rate, most_puts=8)
+    client: Any = SimpleNamespace(write_rate=write_rate, max_puts=8)
     view = WatchedView(client, clock, rps=100, nodes=3)
     view.phase, view.read_sent = Phase.FOLLOWING, clock.now()
     claims: Any = SimpleNamespace()
     job_api = JobApi(client, view, claims, clock, {"red": TeamFacts("red")})
-    kind = MachineType(name="big", zones=("z",), cpus=96, gpus=8, memory_gb=384, price=1.0)
-    job_api.types = lambda: {kind.name: kind}
+    machine_type = MachineType(name="big", zones=("z",), cpus=96, gpus=8, memory_gb=384, price=1.0)
+    job_api.machine_types = lambda: {machine_type.name: machine_type}
     return job_api
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -64,12 +64,12 @@
 
     def place(self) -> int:
         """Machines looked at until everything has been looked at."""
-        before = self.dispatcher.pool.looked_at
+        before = self.dispatcher.pool.machines_checked
         for _ in range(1000):
             self.dispatcher.place_tasks(self.now)
             if not self.dispatcher.needs_placement:
                 break
-        return self.dispatcher.pool.looked_at - before
+        return self.dispatcher.pool.machines_checked - before
 
     def answer(self, machine: Machine, tasks: list[TaskReport]) -> None:
         self.seqs[machine.name] += 1
@@ -103,7 +103,7 @@
     # One machine has gained room for one task; each waiting run looks at it, and no other.
     assert fleet.place() <= 2 * waiting
     assert len(machine.live) == PER_MACHINE
-    assert len(fleet.dispatcher.runs["wk-000002"].places) == 1
+    assert len(fleet.dispatcher.runs["wk-000002"].placements) == 1
 
 
 def test_waiting_gangs_share_one_search() -> None:
@@ -114,7 +114,7 @@
         fleet.job(number, 3, Shape.GANG)
     # All machines once, when the kind of task is seen for the first time; then none for each gang.
     assert fleet.place() <= MACHINES + 2 * 100
-    assert all(not fleet.dispatcher.runs[f"wk-{number:06d}"].places for number in range(2, 102))
+    assert all(not fleet.dispatcher.runs[f"wk-{number:06d}"].placements for number in range(2, 102))
 
 
 def _looks(machines: int, gangs: int, arrays: int, seconds: int = 6) -> int:
@@ -137,7 +137,7 @@
             fleet.end_one(fleet.dispatcher.machines[f"n-{step % machines:06d}"])
         fleet.dispatcher.needs_placement = True
         looks += fleet.place()
-    assert sum(bool(run.places) for run in fleet.dispatcher.runs.values()) <= 1 + seconds * 2
+    assert sum(bool(run.placements) for run in fleet.dispatcher.runs.values()) <= 1 + seconds * 2
     return looks
 
 
@@ -158,10 +158,10 @@
         fleet.job(number, 1)
     fleet.dispatcher.place_tasks(NOW)
     assert fleet.dispatcher.needs_placement
-    placed = [number for number in range(1, jobs + 1) if fleet.dispatcher.runs[f"wk-{number:06d}"].places]
+    placed = [number for number in range(1, jobs + 1) if fleet.dispatcher.runs[f"wk-{number:06d}"].placements]
     assert placed == list(range(1, len(placed) + 1))
     fleet.place()
-    assert all(run.places for run in fleet.dispatcher.runs.values())
+    assert all(run.placements for run in fleet.dispatcher.runs.values())
 
 
 def test_the_roster_of_a_whole_fleet_takes_few_values() -> None:
@@ -187,12 +187,12 @@
     fleet = Fleet()
     pool = fleet.dispatcher.pool
     spec = JobSpec("wk-000001", "c", "red", Shape.ARRAY, Priority.NORMAL, 1, 16.0, 8.0)
-    assert len(pool.with_room(spec)) == MACHINES
+    assert len(pool.with_free_capacity(spec)) == MACHINES
     machine = fleet.dispatcher.machines["n-000003"]
     machine.move(MachineState.LEAVING)
-    assert len(pool.with_room(spec)) == MACHINES - 1
+    assert len(pool.with_free_capacity(spec)) == MACHINES - 1
     fleet.dispatcher.machines["n-000004"].reserve(spec, 1)
-    assert len(pool.with_room(spec)) == MACHINES - 2
+    assert len(pool.with_free_capacity(spec)) == MACHINES - 2
     fleet.dispatcher.machine_lost(machine, "test", NOW)
     assert pool.in_states(MachineState.LOST) == [machine]
 
--- a/tests/test_start_deadline.py
+++ b/tests/test_start_deadline.py
@@ -151,7 +151,7 @@
     job = rush.come("bulk", Shape.ARRAY, Priority.LOW, 50, 1.0, 20.0)
     run = rush.dispatcher.runs[job]
     levels.total_weight, levels.used_weight = 100.0, 20.0  # what a lagging class has used up
-    assert (levels.remaining_tasks(run), levels.remaining_tasks(run, to_begin=True)) == (0, 5)
+    assert (levels.remaining_tasks(run), levels.remaining_tasks(run, for_first_task=True)) == (0, 5)
     assert rush.dispatcher.cluster_state.is_start_overdue(run, START_PRIORITY_AFTER)
     levels.used_weight = 25.0
     assert not rush.dispatcher.cluster_state.is_start_overdue(run, START_PRIORITY_AFTER)
--- a/tests/test_term.py
+++ b/tests/test_term.py
@@ -38,7 +38,7 @@
         "workers": 0,
         "switched_workers": 0,
         "switched_workers_needed": 3,
-        "term_seen": s(10),
+        "term_seen_at": s(10),
         "started": s(0),
         "live_nodes": ["n1", "n2", "n3"],
         "peers": {"n1": peer_status()},
@@ -139,8 +139,8 @@
     # one-has-every-link-kerlann: a new leader that no worker reached kept the term for 22 s.
     "a new leader has asked its machines in vain, this node reaches some": (
         {
-            "term_seen": s(98.9),
-            "leader_unreachable_since": s(99.2),
+            "term_seen_at": s(98.9),
+            "leader_reaches_no_workers_since": s(99.2),
             "reachability": ReachabilityState.REACHABLE,
             "peers": {"n1": peer_status(workers=0, reaches=False)},
         },
@@ -148,7 +148,7 @@
     ),
     "the leader has only just found that it reaches none": (
         {
-            "leader_unreachable_since": s(99.8),
+            "leader_reaches_no_workers_since": s(99.8),
             "reachability": ReachabilityState.REACHABLE,
             "peers": {"n1": peer_status(workers=0, reaches=False)},
         },
@@ -156,7 +156,7 @@
     ),
     "neither the leader nor this node reaches any": (
         {
-            "leader_unreachable_since": s(92),
+            "leader_reaches_no_workers_since": s(92),
             "reachability": ReachabilityState.UNREACHABLE,
             "peers": {"n1": peer_status(workers=0, reaches=False)},
         },
@@ -172,14 +172,14 @@
 
 
 def test_nodes_try_one_after_the_other() -> None:
-    dead = {"leader_session_alive": False, "peers": {"n1": peer_status(age=7)}, "term_seen": s(99.9)}
+    dead = {"leader_session_alive": False, "peers": {"n1": peer_status(age=7)}, "term_seen_at": s(99.9)}
     assert reason_to_raise(election_state(**dead, node="n2")) is not None
     assert reason_to_raise(election_state(**dead, node="n3")) is None
 
 
 def test_a_node_that_reaches_the_workers_goes_before_one_that_does_not() -> None:
     """one-has-every-link-kerlann: all 1,900 tasks were killed by their leases though n4 had every link."""
-    lost = {"term_seen": s(50), "live_nodes": ["n1", "n2", "n3", "n4"]}
+    lost = {"term_seen_at": s(50), "live_nodes": ["n1", "n2", "n3", "n4"]}
     reachability = {"n2": False, "n3": None, "n4": True}
     states = {False: ReachabilityState.UNREACHABLE, None: ReachabilityState.UNKNOWN, True: ReachabilityState.REACHABLE}
 
@@ -219,7 +219,7 @@
 
 def test_the_node_that_was_restarted_last_takes_the_term() -> None:
     """kerlann-fonts-fleet restart: the term went to the node that was to be restarted next, four times."""
-    dead = {"leader_session_alive": False, "term_seen": s(99.9), "live_nodes": ["n1", "n2", "n3", "n4"]}
+    dead = {"leader_session_alive": False, "term_seen_at": s(99.9), "live_nodes": ["n1", "n2", "n3", "n4"]}
 
     def takes(node: str, began: dict[str, float]) -> bool:
         peers = {"n1": peer_status(age=7)}
--- a/tests/tracing.py
+++ b/tests/tracing.py
@@ -175,7 +175,7 @@
 
     def _told(self, words: list[str]) -> None:
         """Asked for its status, the machine has shown this report, and is told of the token directly."""
-        self.dispatcher.notified_directly(self.dispatcher.machines[words[0]], self._read_report(words))
+        self.dispatcher.record_direct_notification(self.dispatcher.machines[words[0]], self._read_report(words))
 
     def _report(self, words: list[str]) -> None:
         """``report m1 seq=3 token=1 tasks=wk-1/0@1:running,wk-2/0@1:ended:done``"""
