--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -64,12 +64,12 @@
 
     def place(self) -> int:
         """Places all work that fits, and returns the number of machine checks that it took."""
-        before = self.dispatcher.pool.looked_at
+        before = self.dispatcher.pool.machines_checked
         for _ in range(1000):
             self.dispatcher.place_tasks(self.now)
             if not self.dispatcher.needs_placement:
                 break
-        return self.dispatcher.pool.looked_at - before
+        return self.dispatcher.pool.machines_checked - before
 
     def report_tasks(self, machine: Machine, tasks: list[TaskReport]) -> None:
         """Sends the next report of the machine and takes the commands for it."""
@@ -104,7 +104,7 @@
     # One machine has gained capacity for one task; each waiting run checks this machine only.
     assert fleet.place() <= 2 * waiting
     assert len(machine.live) == TASKS_PER_MACHINE
-    assert len(fleet.dispatcher.runs["wk-000002"].places) == 1
+    assert len(fleet.dispatcher.runs["wk-000002"].placements) == 1
 
 
 def test_waiting_gangs_share_one_search() -> None:
@@ -115,7 +115,7 @@
         fleet.add_job(number, 3, Shape.GANG)
     # Each machine is checked once, for the first gang with this kind of task; the other gangs check none.
     assert fleet.place() <= MACHINES + 2 * 100
-    assert all(not fleet.dispatcher.runs[f"wk-{number:06d}"].places for number in range(2, 102))
+    assert all(not fleet.dispatcher.runs[f"wk-{number:06d}"].placements for number in range(2, 102))
 
 
 def _machine_checks(machines: int, gangs: int, arrays: int, seconds: int = 6) -> int:
@@ -138,7 +138,7 @@
             fleet.end_first_task(fleet.dispatcher.machines[f"n-{step % machines:06d}"])
         fleet.dispatcher.needs_placement = True
         checks += fleet.place()
-    assert sum(bool(run.places) for run in fleet.dispatcher.runs.values()) <= 1 + seconds * 2
+    assert sum(bool(run.placements) for run in fleet.dispatcher.runs.values()) <= 1 + seconds * 2
     return checks
 
 
@@ -160,10 +160,10 @@
         fleet.add_job(number, 1)
     fleet.dispatcher.place_tasks(NOW)
     assert fleet.dispatcher.needs_placement
-    placed = [number for number in range(1, jobs + 1) if fleet.dispatcher.runs[f"wk-{number:06d}"].places]
+    placed = [number for number in range(1, jobs + 1) if fleet.dispatcher.runs[f"wk-{number:06d}"].placements]
     assert placed == list(range(1, len(placed) + 1))
     fleet.place()
-    assert all(run.places for run in fleet.dispatcher.runs.values())
+    assert all(run.placements for run in fleet.dispatcher.runs.values())
 
 
 def test_roster_of_a_large_fleet_takes_few_keys() -> None:
@@ -189,12 +189,12 @@
     fleet = Fleet()
     pool = fleet.dispatcher.pool
     spec = JobSpec("wk-000001", "c", "red", Shape.ARRAY, Priority.NORMAL, 1, 16.0, 8.0)
-    assert len(pool.with_room(spec)) == MACHINES
+    assert len(pool.with_free_capacity(spec)) == MACHINES
     machine = fleet.dispatcher.machines["n-000003"]
     machine.move(MachineState.LEAVING)
-    assert len(pool.with_room(spec)) == MACHINES - 1
+    assert len(pool.with_free_capacity(spec)) == MACHINES - 1
     fleet.dispatcher.machines["n-000004"].reserve(spec, 1)
-    assert len(pool.with_room(spec)) == MACHINES - 2
+    assert len(pool.with_free_capacity(spec)) == MACHINES - 2
     fleet.dispatcher.machine_lost(machine, "test", NOW)
     assert pool.in_states(MachineState.LOST) == [machine]
 
--- a/tests/test_term.py
+++ b/tests/test_term.py
@@ -38,7 +38,7 @@
         "workers": 0,
         "switched_workers": 0,
         "switched_workers_needed": 3,
-        "term_seen": s(10),
+        "term_seen_at": s(10),
         "started": s(0),
         "live_nodes": ["n1", "n2", "n3"],
         "peers": {"n1": peer_status()},
@@ -144,8 +144,8 @@
     # one-has-every-link-kerlann: a new leader that no worker reached kept the term for 22 s.
     "a new leader has probed its machines without success, this node reaches some": (
         {
-            "term_seen": s(98.9),
-            "leader_unreachable_since": s(99.2),
+            "term_seen_at": s(98.9),
+            "leader_reaches_no_workers_since": s(99.2),
             "reachability": ReachabilityState.REACHABLE,
             "peers": {"n1": peer_status(workers=0, reaches=False)},
         },
@@ -153,7 +153,7 @@
     ),
     "the leader has only just reported that it reaches none": (
         {
-            "leader_unreachable_since": s(99.8),
+            "leader_reaches_no_workers_since": s(99.8),
             "reachability": ReachabilityState.REACHABLE,
             "peers": {"n1": peer_status(workers=0, reaches=False)},
         },
@@ -161,7 +161,7 @@
     ),
     "neither the leader nor this node reaches any worker": (
         {
-            "leader_unreachable_since": s(92),
+            "leader_reaches_no_workers_since": s(92),
             "reachability": ReachabilityState.UNREACHABLE,
             "peers": {"n1": peer_status(workers=0, reaches=False)},
         },
@@ -177,7 +177,7 @@
 
 
 def test_nodes_try_to_raise_the_term_one_after_the_other() -> None:
-    leader_ended = {"leader_session_alive": False, "peers": {"n1": peer_status(age=7)}, "term_seen": s(99.9)}
+    leader_ended = {"leader_session_alive": False, "peers": {"n1": peer_status(age=7)}, "term_seen_at": s(99.9)}
     assert reason_to_raise(election_state(**leader_ended, node="n2")) is not None
     assert reason_to_raise(election_state(**leader_ended, node="n3")) is None
 
@@ -188,7 +188,7 @@
     one-has-every-link-kerlann: another node raised the term, and all 1,900 tasks were killed by their leases
     although n4 had every link.
     """
-    state_lost = {"term_seen": s(50), "live_nodes": ["n1", "n2", "n3", "n4"]}
+    state_lost = {"term_seen_at": s(50), "live_nodes": ["n1", "n2", "n3", "n4"]}
     reachability = {"n2": False, "n3": None, "n4": True}
     states = {False: ReachabilityState.UNREACHABLE, None: ReachabilityState.UNKNOWN, True: ReachabilityState.REACHABLE}
 
@@ -233,7 +233,7 @@
 
     kerlann-fonts-fleet restart: the term went to the node that was restarted next, four times.
     """
-    leader_ended = {"leader_session_alive": False, "term_seen": s(99.9), "live_nodes": ["n1", "n2", "n3", "n4"]}
+    leader_ended = {"leader_session_alive": False, "term_seen_at": s(99.9), "live_nodes": ["n1", "n2", "n3", "n4"]}
 
     def raises_term(node: str, process_starts: dict[str, float]) -> bool:
         peers = {"n1": peer_status(age=7)}
