--- a/tests/test_long_failures.py
+++ b/tests/test_long_failures.py
@@ -10,12 +10,12 @@
 from tests.standins.simulated_time import SimulatedClock, run_simulated
 from tests.standins.users import Users
 from tests.standins.worker import LEASE_S
-from tests.test_combined_failures import _cancelled, leader_and_others, on_machines, started
+from tests.test_combined_failures import cancel_job, count_tasks, leader_and_others, start_cluster
 
 
 async def _out_of_touch(who: str) -> None:
     """For longer than a lease; the leader ends meanwhile, a job is cancelled, and then all is well again."""
-    cluster = await started(12, jobs=2, spare=True)
+    cluster = await start_cluster(12, jobs=2, spare=True)
     try:
         busy = [worker for worker in cluster.cloud.workers.values() if worker.tasks]
         if who == "all controllers":
@@ -32,10 +32,10 @@
             await asyncio.sleep(3 * LEASE_S)
             for worker in busy:
                 worker.reachable_nodes = set(NODE_NAMES)
-        assert await wait_until(lambda: _cancelled(cluster, 2), 20)
-        assert await wait_until(lambda: on_machines(cluster, 1) == 3, 30), "its work did not go on"
+        assert await wait_until(lambda: cancel_job(cluster, 2), 20)
+        assert await wait_until(lambda: count_tasks(cluster, 1) == 3, 30), "its work did not go on"
         await asyncio.sleep(10)
-        assert (on_machines(cluster, 1), on_machines(cluster, 2)) == (3, 0)
+        assert (count_tasks(cluster, 1), count_tasks(cluster, 2)) == (3, 0)
         assert not cluster.violations
     finally:
         await cluster.stop()
@@ -48,7 +48,7 @@
 
 async def _ten_changes(*, outage: bool) -> None:
     """Of the leader in two minutes; the state service is out during three of them, or is not."""
-    cluster = await started(30, jobs=2, spare=True)
+    cluster = await start_cluster(30, jobs=2, spare=True)
     terms: set[int] = set()
     try:
         for change in range(10):
@@ -58,7 +58,7 @@
             await asyncio.sleep(9)
             terms.add(cluster.state.keys["gs/term"][0]["term"])
         assert len(terms) >= (7 if outage else 10)
-        assert await wait_until(lambda: on_machines(cluster, 1) == on_machines(cluster, 2) == 3, 30)
+        assert await wait_until(lambda: count_tasks(cluster, 1) == count_tasks(cluster, 2) == 3, 30)
         if not outage:
             assert set(cluster.cloud.start_counts.values()) == {1}, "work was lost"
         assert not cluster.violations
@@ -89,12 +89,12 @@
             worker.receives_no_commands = worker.zone == "a"
         await asyncio.sleep(0.5)
         for number in (1, 3, 4):
-            assert await wait_until(lambda number=number: _cancelled(cluster, number, outside[-1]), 20)
+            assert await wait_until(lambda number=number: cancel_job(cluster, number, outside[-1]), 20)
         await asyncio.sleep(3 * LEASE_S)
         cluster.state.refused_nodes, cluster.isolated = set(), set()
         for worker in cluster.cloud.workers.values():
             worker.reachable_nodes, worker.receives_no_commands = set(NODE_NAMES), False
-        assert await wait_until(lambda: on_machines(cluster, 2) == on_machines(cluster, 5) == 3, 40), (
+        assert await wait_until(lambda: count_tasks(cluster, 2) == count_tasks(cluster, 5) == 3, 40), (
             "work did not go on"
         )
         await asyncio.sleep(10)
--- a/tests/test_more_combined_failures.py
+++ b/tests/test_more_combined_failures.py
@@ -16,7 +16,15 @@
 from tests.standins.simulated_time import SimulatedClock, run_simulated
 from tests.standins.users import Users
 from tests.standins.worker import LEASE_S, Worker
-from tests.test_combined_failures import _cancelled, _done, _is, job_name, leader_and_others, on_machines, started
+from tests.test_combined_failures import (
+    cancel_job,
+    count_tasks,
+    has_write,
+    is_done,
+    job_name,
+    leader_and_others,
+    start_cluster,
+)
 
 # -- every team is at its limit, jobs are cancelled whose machines don't stop them, the leader changes ------------
 
@@ -66,11 +74,11 @@
             assert await wait_until(lambda number=number: cluster.submit_job("n0", number, Hall="a"), 10)
         assert await wait_until(lambda: cluster.submit_job("n0", 9, Hall="b", Crew="blue"), 10)  # leaves room in zone b
         assert await wait_until(lambda: len(cluster.cloud.active_tasks()) == 9, 30), "the limit is not used up"
-        assert await wait_until(lambda: _cancelled(cluster, 9), 10)
+        assert await wait_until(lambda: cancel_job(cluster, 9), 10)
         await asyncio.sleep(2)
         leader, others = leader_and_others(cluster)
         cluster.state.refused_nodes, cluster.isolated = {leader}, {leader}
-        assert await wait_until(lambda: _cancelled(cluster, 1, others[0]), 5)
+        assert await wait_until(lambda: cancel_job(cluster, 1, others[0]), 5)
         for name in others:
             await cluster.restart(name, 0.1)
         assert await wait_until(lambda: cluster.leader() in others, 10), "nobody took the term"
@@ -83,7 +91,7 @@
         await asyncio.sleep(8)
         cluster.state.refused_nodes, cluster.isolated = set(), set()
         await asyncio.sleep(20)
-        assert on_machines(cluster, 1) == 0
+        assert count_tasks(cluster, 1) == 0
         assert len(cluster.cloud.active_tasks()) == 6, "the next job did not start"
         assert not cluster.violations
     finally:
@@ -100,7 +108,7 @@
 
 async def _confirmed_elsewhere(*, ends: bool) -> None:
     """The transaction is carried out at once and its answer lost; whoever confirms it tells the leader."""
-    cluster = await started(60, jobs=1)
+    cluster = await start_cluster(60, jobs=1)
     clock = asyncio.get_running_loop().time
     try:
         leader, others = leader_and_others(cluster)
@@ -120,7 +128,7 @@
             status, body = await asking
         assert (status, body["Status"]) == (200, "aborted")
         confirmed = clock()
-        assert await wait_until(lambda: on_machines(cluster, 1) == 0, 30)
+        assert await wait_until(lambda: count_tasks(cluster, 1) == 0, 30)
         assert clock() - confirmed < 0.5, "the leader was not told"
         assert not cluster.violations
     finally:
@@ -191,7 +199,7 @@
 
     def end_the_leader(writes: list[dict[str, Any]]) -> bool:
         nonlocal seen
-        if not _is(kind, writes):
+        if not has_write(kind, writes):
             return False
         seen += 1
         if seen in (1, 3, 6) and cluster.leader() is not None:
@@ -210,7 +218,7 @@
             if kind == "term" and number % 2:  # else the first leader would stay
                 ends.append(asyncio.ensure_future(end(str(cluster.leader()))))
         for number in range(1, 7):
-            assert await wait_until(lambda number=number: _done(cluster, number), 60), f"job {number} is not done"
+            assert await wait_until(lambda number=number: is_done(cluster, number), 60), f"job {number} is not done"
         assert ends, "the leader did not end"
         await asyncio.sleep(12)  # the last of what is late is carried out
         assert not cluster.violations
@@ -230,7 +238,7 @@
 
 async def _old_reports(befalls: str) -> None:
     """Of machines that go on, that have begun anew, that nobody reaches, and that were given back."""
-    cluster = await started(12, jobs=2, spare=True)
+    cluster = await start_cluster(12, jobs=2, spare=True)
     cluster.cloud.should_store_report = lambda: True
     try:
         await asyncio.sleep(3)
@@ -269,13 +277,13 @@
 
 async def _cancelled_between_hands(kind: str, *, lost: bool) -> None:
     """As a write of a kind is carried out, its answer lost or not, users cancel the jobs that it tells of."""
-    cluster = await started(12, jobs=0)
+    cluster = await start_cluster(12, jobs=0)
     users = Users(cluster, Random(kind))
     seen: set[str] = set()
     cancelling = False
 
     def cancel(writes: list[dict[str, Any]]) -> bool:
-        if not cancelling or not _is(kind, writes):
+        if not cancelling or not has_write(kind, writes):
             return False
         for write in writes:
             name = write["Put"].rpartition("/")[2]
@@ -302,7 +310,7 @@
         told = await asyncio.wait_for(asyncio.gather(*users.lifecycles), 60)
         assert told
         assert {users.final_status.get(name) for name in seen} == {"aborted"}
-        assert all(on_machines(cluster, int(name[3:])) == 0 for name in seen)
+        assert all(count_tasks(cluster, int(name[3:])) == 0 for name in seen)
         assert not cluster.cloud.starts_after_cancel
         assert not cluster.violations
     finally:
@@ -319,17 +327,17 @@
 
 
 async def _cancelled_while_hung(hung_for: float, *, changes: bool) -> None:
-    cluster = await started(9, jobs=2, spare=True)
+    cluster = await start_cluster(9, jobs=2, spare=True)
     try:
-        assert await wait_until(lambda: _cancelled(cluster, 1), 10)
+        assert await wait_until(lambda: cancel_job(cluster, 1), 10)
         for worker in _with_tasks_of(cluster, 1):
             worker.pause(hung_for)
         if changes:
             leader, _ = leader_and_others(cluster)
             await cluster.restart(leader, 0.3)
         await asyncio.sleep(hung_for + 12)
-        assert on_machines(cluster, 1) == 0
-        assert on_machines(cluster, 2) == 3, "the other job does not run"
+        assert count_tasks(cluster, 1) == 0
+        assert count_tasks(cluster, 2) == 3, "the other job does not run"
         assert not cluster.cloud.starts_after_cancel
         assert not cluster.violations
     finally:
