--- a/tests/test_partial_state_outage.py
+++ b/tests/test_partial_state_outage.py
@@ -1,4 +1,8 @@
-"""Two small troubles at once must not become an outage that the controllers make."""
+"""The state service refuses all controllers but one, then it goes down for that controller, too.
+
+Together the two failures must not cause an outage of the controllers: the leader stays until a controller that can
+read the state service again takes over, and no worker's lease expires.
+"""
 
 import asyncio
 
@@ -6,7 +10,7 @@
 from tests.standins.cluster import NODE_NAMES, Cluster
 
 
-async def _four_refused_then_outage() -> None:
+async def _all_but_one_refused_then_outage() -> None:
     cluster = Cluster(run_seconds=60)
     cluster.start()
     try:
@@ -16,27 +20,27 @@
         assert leader is not None
         sessions = {name: worker.session for name, worker in cluster.cloud.workers.items() if worker.tasks}
 
-        # All but one controller lose the state service; a second later it is gone for that one too.
-        last = next(name for name in NODE_NAMES if name != leader)
-        cluster.state.refused_nodes = set(NODE_NAMES) - {last}
+        # The state service refuses all controllers but one; a second later it is down for that controller, too.
+        remaining = next(name for name in NODE_NAMES if name != leader)
+        cluster.state.refused_nodes = set(NODE_NAMES) - {remaining}
         await asyncio.sleep(1)
         cluster.state.down = True
-        await asyncio.sleep(5.5)  # longer than a lease; the leader's authority lasts for 7 s
+        await asyncio.sleep(5.5)  # longer than a lease (4 s), but shorter than the leader's authority (7 s)
         assert cluster.leader() == leader
         cluster.state.down = False
-        assert await wait_until(lambda: cluster.leader() == last, 10), "nobody took the term"
+        assert await wait_until(lambda: cluster.leader() == remaining, 10), "the remaining controller did not take over"
 
-        # The successor finds all of it running, and its workers have never been without a commander.
+        # All tasks still run under the successor, and no worker's lease has expired.
         await asyncio.sleep(3)
         assert len(cluster.cloud.active_tasks()) == 3
         assert sessions == {name: cluster.cloud.workers[name].session for name in sessions}
-        assert all(cluster.cloud.workers[name].node == last for name in sessions)
+        assert all(cluster.cloud.workers[name].node == remaining for name in sessions)
         cluster.state.refused_nodes = set()
         assert not cluster.cloud.violations
     finally:
         await cluster.stop()
 
 
-def test_all_but_one_lose_the_state_service_and_then_it_is_out() -> None:
-    """kerlann-fonts-fleet loss: the leader gave up for a peer that had lost the service as well."""
-    asyncio.run(asyncio.wait_for(_four_refused_then_outage(), 60))
+def test_state_service_refuses_all_but_one_controller_then_goes_down() -> None:
+    """kerlann-fonts-fleet loss: the leader resigned in favour of a peer that had lost the state service as well."""
+    asyncio.run(asyncio.wait_for(_all_but_one_refused_then_outage(), 60))
