--- a/gingerspar/controller.py
+++ b/gingerspar/controller.py
@@ -215,8 +215,8 @@
             report = messages.decode(Report, request.body)
         except Malformed as error:
             return error_answer(400, str(error))
-        order = (report.session, report.seq)
-        self._contacts.add(report.machine, report.address, order, report.token, self._clock.now())
+        session_and_seq = (report.session, report.seq)
+        self._contacts.add(report.machine, report.address, session_and_seq, report.token, self._clock.now())
         if self._runtime is None:
             self._prober.probe_contacts()
         if self._runtime is not None and self._term_manager.has_authority():
@@ -231,8 +231,8 @@
     async def _hold_until_leader_found(self, report: Report) -> Answer:
         """Holds a worker's report while no leader is known, instead of sending the worker on.
 
-        The next node that the worker tries may be the one that has just gone down: that costs it
-        four seconds of its lease, and then another round of the nodes.
+        The next node that the worker tries may be the one that has just gone down. Waiting for its answer would
+        cost the worker four seconds of its lease, and then it would try all nodes once more.
         """
         await wait_for_event(self._leader_found, min(MAX_HOLD_WITHOUT_LEADER, max_hold_duration(self._facts.workers)))
         if self._runtime is not None and self._term_manager.has_authority():
@@ -350,7 +350,7 @@
         return leader != self._node and self._link.is_up(leader) and self._receives_from(leader)
 
     def _redial_broken_links(self) -> None:
-        """Redials links that are silent either way: a connection may be lost without an error on one side."""
+        """Redials links on which one side receives nothing: a connection may be lost without an error on that side."""
         for peer in self._link.peers:
             peer_status = self._peer_status.get(peer)
             works = self._receives_from(peer) and peer_status is not None and self._node in peer_status.receives_from
@@ -399,8 +399,8 @@
         """Splits the write and request limits of the state service among the nodes that can use them.
 
         A silent peer is assumed to need an even share, a peer without the state service none.
-        kerlann-fonts-fleet loss: the one controller of five that still had the state service claimed
-        everything again at the rate left beside four shares that nobody could use.
+        kerlann-fonts-fleet loss: the one controller of five that still had the state service claimed all jobs
+        again at the rate that was left beside four shares that no other controller could use.
         """
         even_share = self._facts.state.write_rps / max(self._facts.size, 1)
         live_peers = [peer_status for node, peer_status in self._peer_status.items() if self._receives_from(node)]
@@ -470,8 +470,8 @@
     def _notify_cancelled(self, job: str, version: int, record: JobRecord) -> None:
         """Sends a cancellation to all peers, so that the leader stops the tasks at once.
 
-        The leader may have lost the state service, and may not be the node that this node takes for it. If the
-        message doesn't arrive, the tasks end with the leader's authority and the workers' leases.
+        The leader may have lost the state service, and may be another node than the one that this node knows as
+        leader. If the message doesn't arrive, the tasks end with the leader's authority and the workers' leases.
         """
         self._link.broadcast(self._pack_handover(job, version, record))
 
--- a/gingerspar/coordination/cluster/capacity_index.py
+++ b/gingerspar/coordination/cluster/capacity_index.py
@@ -55,7 +55,7 @@
     ranked_at: timedelta | None = None  # time for which the preemption costs in ``ranked`` hold
     ranked: "SortedList[Rank]" = field(default_factory=SortedList)  # cheapest to stop first
     ranks: dict[str, "Rank"] = field(default_factory=dict)  # the entries of ``ranked`` by machine name
-    unranked: set[str] = field(default_factory=set)  # machines changed since then; ranked by the next ``by_stop_cost``
+    unranked: set[str] = field(default_factory=set)  # changed since ``ranked_at``; ranked by the next ``by_stop_cost``
 
     def refresh(self, usable: Callable[[Machine], bool]) -> int:
         """Recomputes the capacity of machines that have changed, and returns their number.
--- a/gingerspar/coordination/cluster/cluster_state.py
+++ b/gingerspar/coordination/cluster/cluster_state.py
@@ -44,8 +44,8 @@
 ROUTINE_CHEAP_WAIT_LIMIT = timedelta(seconds=20)
 RUN_TIME_MARGIN = 1.3  # factor on estimated run times: estimates are often wrong by half
 SLACK_SHARE_FOR_WAITING = 0.5  # not all of it: a job is done only when its slowest task is
-START_OVERHEAD = timedelta(seconds=5)  # claim, reports and the other steps before a task runs, without its image
-EXPENSIVE_PRICE_RATIO = 1.5  # to the lowest price per task of an ordinary machine type; above it one is expensive
+START_OVERHEAD = timedelta(seconds=5)  # claim, reports and other steps before a task runs; image fetch excluded
+EXPENSIVE_PRICE_RATIO = 1.5  # types above this multiple of the lowest price per task of ordinary ones are expensive
 MIN_START_DELAY = timedelta(seconds=2)  # from the placement of a task until it runs
 LATE_ORDER_OFFSET_S = 1e7  # seconds, more than any deadline lies ahead: late jobs come after all that may be in time
 NO_DEADLINE_OFFSET_S = 1e12  # seconds, later than all deadlines
@@ -260,7 +260,7 @@
 
     def task_done(self, run: JobRun, number: int) -> bool:
         """Records that a task has completed; returns whether that was not known before."""
-        run.has_started = True  # an older leader may have started it
+        run.has_started = True  # an earlier leader may have started it
         # The tasks of a gang complete together: if one is done, all are.
         numbers = range(run.spec.tasks) if run.is_gang else (number,)
         is_new = False
--- a/gingerspar/coordination/cluster/delivery.py
+++ b/gingerspar/coordination/cluster/delivery.py
@@ -49,7 +49,7 @@
         self._move(DeliveryState.FAILED if self.lost_answers >= MAX_LOST_ANSWERS else DeliveryState.SUSPECT)
 
     def _move(self, state: DeliveryState) -> None:
-        """The only place where the state changes."""
+        """Sets and logs the delivery state; no other code changes it."""
         if state is self.state:
             return
         log.info(
--- a/gingerspar/coordination/cluster/machine.py
+++ b/gingerspar/coordination/cluster/machine.py
@@ -15,8 +15,8 @@
 class MachineState(Enum):
     __hash__ = object.__hash__  # Enum.__hash__ hashes the name on each call, here about ten thousand times a second
 
-    BOOTING = "booting"  # rented, no report yet
-    UNSETTLED = "unsettled"  # may run tasks that an older leader started
+    BOOTING = "booting"  # no report with this leader's token yet, and not known to run tasks of earlier leaders
+    UNSETTLED = "unsettled"  # may run tasks that an earlier leader started
     READY = "ready"  # its reports list all tasks that are on it
     LEAVING = "leaving"  # gets no new tasks: spot notice, unhealthy, or to be returned to the cloud
     LOST = "lost"  # its lease has expired: nothing runs on it any more
@@ -41,7 +41,7 @@
     PLANNED = "planned"  # assigned to a machine, `run` not sent yet
     SENT = "sent"  # `run` sent; not reported yet
     FETCHING = "fetching"
-    WAITING = "waiting"
+    WAITING = "waiting"  # until all tasks of its gang are ready
     RUNNING = "running"
     SAVING = "saving"
     EXITED = "exited"
@@ -101,7 +101,7 @@
         return self.state is not TaskState.EXITED and self.state is not TaskState.GONE
 
     def move(self, state: TaskState, now: timedelta) -> None:
-        """Changes the state, here only; the machine's resource usage follows.
+        """Changes the state, and the machine's resource usage with it; no other code changes the state.
 
         Raises RuntimeError if the task has already left its machine.
         """
@@ -239,7 +239,7 @@
     token_session: int = 0  # last session in which a report showed this leader's token
     delivery: AnswerDelivery = field(init=False)
     rostered: bool = False
-    spot_notice_at: timedelta | None = None  # when the cloud takes it away (spot notice)
+    removal_at: timedelta | None = None  # when the cloud takes the machine away, according to its spot notice
     live: dict[tuple[str, int, int], Placement] = field(default_factory=dict)
     # Exited tasks in the last report, by job, number and attempt.
     exited_placements: dict[tuple[str, int, int], Cause | None] = field(default_factory=dict)
@@ -265,7 +265,7 @@
         self.delivery = AnswerDelivery(self.name)
 
     def move(self, state: MachineState) -> None:
-        """Changes the state, here only. Raises RuntimeError if the states do not allow this transition."""
+        """Changes the state; no other code does. Raises RuntimeError if the transition is not allowed."""
         if state is self.state:
             return
         if state not in _MACHINE_TRANSITIONS[self.state]:
--- a/gingerspar/coordination/cluster/pool.py
+++ b/gingerspar/coordination/cluster/pool.py
@@ -171,7 +171,7 @@
         return found
 
     def earliest_available(self, spec: JobSpec, excluded: Container[Machine], now: timedelta) -> list[Machine]:
-        """The machine, in a list of one, that could take a task of the job earliest, given no others until then.
+        """The machine that could take a task of the job earliest if it got no other tasks; as a list of one.
 
         Machines in ``excluded`` are skipped; the list is empty if no other machine is suitable.
         """
--- a/gingerspar/coordination/cluster/service_level.py
+++ b/gingerspar/coordination/cluster/service_level.py
@@ -81,10 +81,14 @@
 
     def _update_state(self, name: str, level: ServiceLevel) -> None:
         counted = level.done + level.overdue
-        share = level.done / counted if counted else 1.0
-        if level.state is ServiceLevelState.SERVED and counted >= MIN_COUNTED_JOBS and share < LAGGING_BELOW_FRACTION:
+        done_fraction = level.done / counted if counted else 1.0
+        if (
+            level.state is ServiceLevelState.SERVED
+            and counted >= MIN_COUNTED_JOBS
+            and done_fraction < LAGGING_BELOW_FRACTION
+        ):
             self._set_state(name, level, ServiceLevelState.LAGGING)
-        elif level.state is ServiceLevelState.LAGGING and share >= SERVED_FROM_FRACTION:
+        elif level.state is ServiceLevelState.LAGGING and done_fraction >= SERVED_FROM_FRACTION:
             self._set_state(name, level, ServiceLevelState.SERVED)
 
     @staticmethod
--- a/gingerspar/coordination/leader/dispatcher.py
+++ b/gingerspar/coordination/leader/dispatcher.py
@@ -89,7 +89,7 @@
         self._lease_timeout = workers.lease * (1 + 4 * MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN
         self._settled_at = raised_at + settling_time(workers)
         self._placer = Placer(self.cluster_state)
-        self._machines_with_notice: dict[str, Machine] = {}  # machines that the cloud will reclaim
+        self._machines_with_notice: dict[str, Machine] = {}  # machines that the cloud will take away
         self.pending_direct_stops: dict[str, Machine] = {}  # with stops that have not been sent directly yet
         self.needs_placement = True
         self._wake: Callable[[Machine], None] = lambda machine: None
@@ -188,7 +188,7 @@
                 # cloud since: the report is a delayed copy. Accepting it would make the tasks that it lists count
                 # as running there for the length of a lease.
                 raise StaleReport
-            # The machine is unexpected, but not on the roster: no earlier leader can have used it.
+            # The machine was not expected, but it is not on the roster either: no earlier leader can have used it.
             machine = self.cluster_state.add_machine(
                 report.machine, report.type, report.zone, report.spot, now, MachineState.BOOTING
             )
@@ -197,8 +197,9 @@
         if report.session < machine.min_session or (report.session, report.seq) <= (machine.session, machine.seq):
             raise StaleReport
         if report.token < self.term and report.session == machine.token_session:
-            # A worker process never forgets a token, so this one was restarted and numbers its reports anew. Delayed
-            # reports of its previous process can't be told apart from its own: its lease has to run out first.
+            # A worker process never forgets a token, so the worker was restarted, and its new process numbers its
+            # reports anew. Delayed reports of the previous process can't be told apart from those of the new one, so
+            # the lease has to run out first.
             raise StaleReport
         answer_received = self._received_last_answer(machine, report, now)
         machine.session, machine.seq = report.session, report.seq
@@ -231,7 +232,7 @@
         if answer_received is not None:
             self._record_answer_delivery(machine, answer_received, now)
         if report.notice_s is not None:
-            machine.spot_notice_at = now + timedelta(seconds=report.notice_s)
+            machine.removal_at = now + timedelta(seconds=report.notice_s)
             self._machines_with_notice[machine.name] = machine
             if machine.state is MachineState.READY:
                 self.drain_machine(machine, "spot notice")
@@ -537,10 +538,11 @@
 
         ``state_read_sent`` is when the last successful read of the state service was sent. A machine's silence for
         the length of its lease proves that the lease has run out only if no other leader has renewed it. A leader
-        without the state service continues for L (``authority_duration``), while a successor may have contact with
-        all that it has lost. A leader that was partitioned together with one zone declared the machines of the
-        other zone lost and started their tasks again, while these ran on under its successor. A read that was sent
-        after the end of the lease and still shows this term proves that there was no successor before.
+        without the state service continues for ``authority_duration``, while a successor may have contact with the
+        state service and with all machines that it has lost. A leader that was partitioned together with one zone
+        declared the machines of the other zone lost and started their tasks again, while these ran on under its
+        successor. A read that was sent after the end of the lease and still shows this term proves that there was no
+        successor before.
         """
         for machine in self.pool.in_states(MachineState.READY, MachineState.LEAVING):
             if (
@@ -578,12 +580,12 @@
                     self.cluster_state.gang_task_lost(run, now)
 
     def _stop_before_removal(self, now: timedelta) -> None:
-        """Stops services and saves tasks with checkpoints on machines that the cloud is about to reclaim."""
+        """Stops services and saves tasks with checkpoints on machines that the cloud is about to take away."""
         for name, machine in list(self._machines_with_notice.items()):
-            if machine.state is not MachineState.LEAVING or machine.spot_notice_at is None:
+            if machine.state is not MachineState.LEAVING or machine.removal_at is None:
                 del self._machines_with_notice[name]
                 continue
-            time_left = machine.spot_notice_at - now
+            time_left = machine.removal_at - now
             for placement in list(machine.live.values()):
                 spec = placement.spec
                 if placement.stop_grace is None and spec.shape is Shape.SERVICE:
--- a/gingerspar/coordination/leader/leader_runtime.py
+++ b/gingerspar/coordination/leader/leader_runtime.py
@@ -96,7 +96,7 @@
     thousand times. Reports on routine tasks can wait, and so can reports that an image has
     been fetched. The more machines are ``ready``, the longer they wait, so that the report
     rate grows more slowly than the fleet. Reports that urgent work waits for can't wait: freed
-    capacity, and gangs that gather or end.
+    capacity, and gangs whose tasks wait for each other or end.
     """
     if not machine.live:
         return HOLD_IDLE
@@ -177,9 +177,9 @@
         self._idle_history = fleet.IdleHistory()
         self._rental_count = 0
         self._random = rng
-        self._notified_at = clock.now()
+        self._claimants_notified_at = clock.now()
         self._renting: set[Offer] = set()
-        self._returned: dict[str, timedelta] = {}  # when; machine lists may show them for a while
+        self._returned: dict[str, timedelta] = {}  # by machine: time of its return; machine lists may still show it
         self._tasks: list[asyncio.Task[None]] = []
         self._calls: set[asyncio.Task[None]] = set()
         self._roster = Roster(dispatcher.term, client, view, session, self._work.set)
@@ -390,7 +390,7 @@
     async def _notify_unreported(self) -> None:
         """Notifies machines that have not reported in this term of its token.
 
-        An older leader that has lost the state service and all other controllers continues to answer its workers.
+        An earlier leader that has lost the state service and all other controllers continues to answer its workers.
         It learns of its successor only from them (docs/design.md, "Left with its workers alone").
         """
         await asyncio.sleep(NOTIFY_DELAY.total_seconds())
@@ -414,8 +414,8 @@
                 _, body = await client.request("GET", names.PATH_STATUS)
                 report = messages.decode(Report, body)
                 self.dispatcher.record_direct_notification(machine, report)
-                orders = messages.encode(DirectCommands(self.dispatcher.term, report.session, []))
-                await client.request("POST", names.PATH_COMMANDS, orders, permit=self._authority)
+                empty_commands = messages.encode(DirectCommands(self.dispatcher.term, report.session, []))
+                await client.request("POST", names.PATH_COMMANDS, empty_commands, permit=self._authority)
         except (NoAnswer, Malformed, TimeoutError) as error:
             log.debug("machine %s was not notified of the term: %s", machine.name, error)
         finally:
@@ -423,8 +423,8 @@
 
     def _notify_claimants(self, now: timedelta) -> None:
         """Reports finished tasks to claimants and requests new attempts from them, until the job records show both."""
-        if now - self._notified_at >= FINISH_BATCH_INTERVAL:
-            self._notified_at = now
+        if now - self._claimants_notified_at >= FINISH_BATCH_INTERVAL:
+            self._claimants_notified_at = now
             finishes: dict[str, dict[str, list[int]]] = {}
             for job, run in self.dispatcher.cluster_state.unrecorded.items():
                 claimant = run.record.claimant
@@ -547,7 +547,7 @@
             try:
                 listed = await self._cloud.machines()
             except (CloudError, NoCapacity) as error:
-                log.debug("machine list failed: %s", error)
+                log.debug("reading the cloud's machine list failed: %s", error)
                 await asyncio.sleep(1)
                 continue
             now = self._clock.now()
--- a/gingerspar/coordination/leader/load_monitor.py
+++ b/gingerspar/coordination/leader/load_monitor.py
@@ -48,7 +48,7 @@
         return self.state is LoadState.OVERLOADED
 
     def _move(self, state: LoadState) -> None:
-        """The only place where the state changes."""
+        """Sets and logs the load state; no other code changes it."""
         log.info(
             "load: %s -> %s, timers %.0f ms late", self.state.value, state.value, self.lateness.total_seconds() * 1000
         )
--- a/gingerspar/coordination/leader/term_manager.py
+++ b/gingerspar/coordination/leader/term_manager.py
@@ -143,7 +143,7 @@
             self.resign()
 
     def _move(self, state: TermState) -> None:
-        """The only place where this node's role in the term changes."""
+        """Sets and logs this node's role in the term; no other code changes it."""
         log.info("term: %s -> %s", self._state.value, state.value)
         self._state = state
 
--- a/gingerspar/coordination/machines/fleet.py
+++ b/gingerspar/coordination/machines/fleet.py
@@ -350,7 +350,7 @@
     are surplus, unless a waiting job could use them.
     """
     found = cluster_state.pool.in_states(MachineState.LOST)
-    found += [m for m in cluster_state.pool.in_states(MachineState.LEAVING) if not m.live and m.spot_notice_at is None]
+    found += [m for m in cluster_state.pool.in_states(MachineState.LEAVING) if not m.live and m.removal_at is None]
     for machine in cluster_state.pool.in_states(MachineState.BOOTING):
         startup = timedelta(seconds=machine.machine_type.boot_s if machine.machine_type is not None else 60)
         if now - machine.created > startup * 4 + timedelta(seconds=20):
--- a/gingerspar/coordination/placement/gang_reservation.py
+++ b/gingerspar/coordination/placement/gang_reservation.py
@@ -49,7 +49,7 @@
         self._cluster_state = cluster_state
 
     def check_due(self, run: JobRun, now: timedelta) -> bool:
-        """Whether the gang has waited long enough, both in all and since the last reservation attempt."""
+        """Whether the gang has waited long enough, both in total and since the last reservation attempt."""
         if not self._waited_long_enough(run, now):
             return False
         return run.preemption_checked_at is None or now - run.preemption_checked_at >= RESERVATION_RETRY_INTERVAL
@@ -58,7 +58,7 @@
         """Whether checking the gang would change nothing, according to the totals of its capacity index.
 
         Preempting all lower-priority tasks would not make it fit, and all free capacity that it could use is
-        already reserved for it.
+        already reserved for it. Starts the reservation timeout of a gang that would fit on empty machines.
         """
         spec = run.spec
         if spec.spread or run.failures:
@@ -128,8 +128,8 @@
     ) -> list[TaskSlot]:
         """Slots for the gang's tasks, lowest preemption cost first; all in one zone if the job requires that.
 
-        Preemption is worked out task by task only on the machines with the lowest stop cost per slot, until there are
-        enough slots (``PREEMPTION_SLOTS_FACTOR``).
+        Preemption is worked out task by task only on the machines with the lowest preemption cost per slot, until
+        there are enough slots (``PREEMPTION_SLOTS_FACTOR``).
         """
         spec = run.spec
         pool = self._cluster_state.pool
--- a/gingerspar/coordination/placement/placer.py
+++ b/gingerspar/coordination/placement/placer.py
@@ -94,7 +94,7 @@
         self._gang_reservations = GangReservations(cluster_state)
         self._limit_reservations = TeamLimitReservations(cluster_state, self._gang_reservations)
         self._gained = GainedMachines([])  # machines that the current pass checks runs against
-        self._resume_after: Order | None = None  # the last run that an unfinished pass has checked
+        self._resume_after: Order | None = None  # order key of the last run that an unfinished pass has checked
         self._last_rescan = timedelta(0)
         self._machines_by_key: dict[FitKey, list[Machine]] = {}  # machines with free capacity for a task
         # Demands that fit on none of the gained machines, by constraints and whether accelerators had to be spared.
@@ -156,7 +156,7 @@
     def _orders_to_check(
         self, gained: GainedMachines, candidate_keys: set[ConstraintKey], reserving_jobs: set[str], now: timedelta
     ) -> list[Order]:
-        """Runs for the pass to check: unscanned runs, and runs that may fit on the gained machines.
+        """Order keys of the runs to check: unscanned runs, and runs that may fit on the gained machines.
 
         Gangs are checked as well if they have reservations on gained machines or are due for a reservation attempt.
         """
--- a/gingerspar/coordination/placement/team_limits.py
+++ b/gingerspar/coordination/placement/team_limits.py
@@ -85,13 +85,13 @@
             return
         if run.limit_reserved_since is None:
             run.limit_reserved_since = now
-        reserved_for = now - run.limit_reserved_since
-        if reserved_for > RESERVATION_TIMEOUT and self._cluster_state.first_overdue_gang(now) is not run:
-            if reserved_for < RESERVATION_TIMEOUT + RESERVATION_PAUSE:
+        reserved_duration = now - run.limit_reserved_since
+        if reserved_duration > RESERVATION_TIMEOUT and self._cluster_state.first_overdue_gang(now) is not run:
+            if reserved_duration < RESERVATION_TIMEOUT + RESERVATION_PAUSE:
                 return  # its reservation timed out: other runs must not starve
             run.limit_reserved_since = now
         self._first_gang_by_team[run.spec.team] = run
-        if reserved_for >= LIMIT_PREEMPTION_DELAY and (
+        if reserved_duration >= LIMIT_PREEMPTION_DELAY and (
             run.preemption_checked_at is None or now - run.preemption_checked_at >= RESERVATION_RETRY_INTERVAL
         ):
             run.preemption_checked_at = now
