--- a/bench/leader_load.py
+++ b/bench/leader_load.py
@@ -73,7 +73,7 @@
         self.random = random.Random(seed)
         self.now = timedelta(seconds=1)
         workers = WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43, gang_wait_s=35, gang_peer_s=4)
-        self.leader = Dispatcher(1, timedelta(0), workers, [TeamFacts("red", cpus_max=limit)], today=None)
+        self.leader = Dispatcher(1, timedelta(0), workers, [TeamFacts("red", cpus_max=limit)], utc_now=None)
         self.leader.set_types(MACHINE_TYPES)
         self.workers: dict[str, Worker] = {}
         self.specs: dict[str, JobSpec] = {}
--- a/gingerspar/cli.py
+++ b/gingerspar/cli.py
@@ -73,7 +73,7 @@
 
     problem = cancel_limit_problem(settings.facts)
     if problem is not None:
-        logging.getLogger(__name__).error("%s", problem)  # the controller runs all the same
+        logging.getLogger(__name__).error("%s", problem)  # the controller starts nevertheless
 
     async def main() -> None:
         await Controller(settings, operator_settings).run()
--- a/gingerspar/controller.py
+++ b/gingerspar/controller.py
@@ -44,7 +44,7 @@
 RELAY_AFTER = timedelta(seconds=0.8)  # without a state read for this time, a peer may serve users better
 MAX_HOLD_WITHOUT_LEADER = timedelta(seconds=2)  # workers stop waiting for an answer after 4 s
 PEER_CONTACT_LOST_AFTER = timedelta(seconds=1.5)
-REDIAL_AFTER = timedelta(seconds=2)
+RECONNECT_AFTER = timedelta(seconds=2)
 
 
 class Controller:
@@ -120,7 +120,7 @@
             self._client, self._view, self._session, self._term_manager.is_dispatching, operator.sweep_batch
         )
         self._view.on_term.append(self._term_changed)
-        self._claims.dispatcher_reachable = self._dispatcher_reachable
+        self._claims.leader_reachable = self._leader_reachable
         self._claims.hand_over = self._hand_over
         self._job_api.notify_cancelled = self._notify_cancelled
         self._job_api.machine_types = lambda: {machine_type.name: machine_type for machine_type in self._types}
@@ -340,7 +340,7 @@
             for node, peer_status in self._peer_status.items()
         )
 
-    def _dispatcher_reachable(self) -> bool:
+    def _leader_reachable(self) -> bool:
         term = self._view.term
         if term is None:
             return False
@@ -349,19 +349,19 @@
         leader = term[0].leader
         return leader != self._node and self._link.is_up(leader) and self._receives_from(leader)
 
-    def _redial_broken_links(self) -> None:
-        """Redials links that are silent either way: a connection may be lost without an error on one side."""
+    def _reconnect_broken_links(self) -> None:
+        """Reconnects links that are silent either way: a connection may be lost without an error on one side."""
         for peer in self._link.peers:
             peer_status = self._peer_status.get(peer)
             works = self._receives_from(peer) and peer_status is not None and self._node in peer_status.receives_from
-            if not works and self._link.age(peer) > REDIAL_AFTER:
-                log.debug("redialling peer link to %s", peer)
-                self._link.redial(peer)
+            if not works and self._link.age(peer) > RECONNECT_AFTER:
+                log.debug("reconnecting peer link to %s", peer)
+                self._link.reconnect(peer)
 
     async def _run_heartbeats(self) -> None:
         counts_sent_at = self._clock.now()
         while True:
-            self._redial_broken_links()
+            self._reconnect_broken_links()
             self._wake_held_reports()
             self._link.broadcast(
                 peers.pack(
--- a/gingerspar/coordination/jobs/claims.py
+++ b/gingerspar/coordination/jobs/claims.py
@@ -36,7 +36,7 @@
 ROUNDING_TOLERANCE = 1e-6  # rounding error of totals after many additions and subtractions
 # Each further node in the record's fallback order waits this much longer than the one before it.
 FALLBACK_CLAIM_INTERVAL = timedelta(seconds=3)
-# A claimant that has not reached the dispatcher for this long releases its claims.
+# A claimant that has not reached the leader for this long releases its claims.
 RELEASE_AFTER = timedelta(seconds=4)
 
 
@@ -214,8 +214,8 @@
         self._claimed_resources = ClaimedResources()
         self._wake = asyncio.Event()
         self._result_wake = asyncio.Event()
-        self._dispatcher_reached_at = clock.now()
-        self.dispatcher_reachable: Callable[[], bool] = lambda: True  # whether claimed jobs can be handed to it
+        self._leader_reached_at = clock.now()
+        self.leader_reachable: Callable[[], bool] = lambda: True  # whether claims can be handed over to it
         self.hand_over: Callable[[str, int, JobRecord], None] = lambda job, version, record: None
         view.on_job.append(self._job_changed)
 
@@ -249,7 +249,7 @@
         self._wake.set()
 
     def add_finished(self, jobs: dict[str, list[int]]) -> None:
-        """Adds finished tasks by job, as the dispatcher reports them; it repeats them until the record shows them."""
+        """Adds finished tasks by job. The leader reports each task repeatedly until the job's record shows it."""
         now = self._clock.now()
         for job, tasks in jobs.items():
             entry = self._view.jobs.get(job)
@@ -262,12 +262,12 @@
             self._result_wake.set()
 
     def request_reclaim(self, job: str, attempt: int) -> None:
-        """Requests, for the dispatcher, a claim with a later attempt; ignored if the record shows one already."""
+        """Queues the leader's request for a later attempt of a job; ignored if the record has one already."""
         self._reclaim_requests[job] = attempt
         self._wake.set()
 
     async def run_claims(self) -> None:
-        """Writes claims while the dispatcher is reachable; releases them after ``RELEASE_AFTER`` without it."""
+        """Writes claims while the leader is reachable; releases them after ``RELEASE_AFTER`` without it."""
         while True:
             if await wait_for_event(self._wake, timedelta(seconds=0.5)):
                 await asyncio.sleep(0.005)
@@ -275,13 +275,13 @@
             if self._view.term is None or self._session.claimant is None:
                 continue
             now = self._clock.now()
-            if self.dispatcher_reachable():
-                self._dispatcher_reached_at = now
+            if self.leader_reachable():
+                self._leader_reached_at = now
                 await self._write(self._next_reclaims(), Urgency.CLAIM, hand_over=True)
                 while batch := self._next_claims(now):
                     if not await self._write(batch, Urgency.CLAIM, hand_over=True):
                         break
-            elif now - self._dispatcher_reached_at > RELEASE_AFTER:
+            elif now - self._leader_reached_at > RELEASE_AFTER:
                 await self._write(self._next_releases(), Urgency.BACKGROUND)
 
     def _next_claims(self, now: timedelta) -> list[RecordChange]:
@@ -315,7 +315,7 @@
 
     def _is_overdue(self, entry: Versioned) -> bool:
         """True if the job has waited so long that it is claimed past its team's limit."""
-        return self._clock.today().timestamp() - entry.record.submitted >= CLAIM_DEADLINE.total_seconds()
+        return self._clock.utc_now().timestamp() - entry.record.submitted >= CLAIM_DEADLINE.total_seconds()
 
     def _fallback_position(self, job: str, nodes: list[str]) -> int:
         """This node's position among the live nodes in the order in which they may claim an unclaimed record.
@@ -395,7 +395,7 @@
     async def _write(self, batch: list[RecordChange], urgency: Urgency, *, hand_over: bool = False) -> bool:
         """Commits the changes in one transaction and applies them to the local view at once.
 
-        ``hand_over``: the changes are claims, which are passed on to the dispatcher. Returns False if nothing was
+        ``hand_over``: the changes are claims, which are passed on to the leader. Returns False if nothing was
         written or the outcome is unknown.
         """
         term = self._view.term
--- a/gingerspar/coordination/jobs/job_api.py
+++ b/gingerspar/coordination/jobs/job_api.py
@@ -138,8 +138,8 @@
         """The health check: 503 only if another node can serve users better, or if that is unknown for too long.
 
         A node without the state service and without contact to any peer used to stay healthy, and its users got
-        no useful answer for as long as the partition lasted. If all nodes are in that state, users lose, once, the
-        3 s after which the load balancer readmits a node.
+        no useful answer for as long as the partition lasted. If all nodes are in that state, users lose
+        3 s once, because the load balancer readmits a node after that time.
         """
         if self._has_state():
             return Answer(200, b'{"ok":true}')
@@ -199,7 +199,7 @@
         return (spec, None) if reason is None else (None, error_answer(422, reason))
 
     async def _enqueue(self, spec: JobSpec) -> Answer:
-        record = JobRecord(spec=spec, status=JobStatus.PENDING, submitted=self._clock.today().timestamp())
+        record = JobRecord(spec=spec, status=JobStatus.PENDING, submitted=self._clock.utc_now().timestamp())
         submission = _Submission(record)
         self._queue.append(submission)
         self._queued.set()
--- a/gingerspar/coordination/jobs/reconciler.py
+++ b/gingerspar/coordination/jobs/reconciler.py
@@ -34,7 +34,7 @@
 
 
 class Reconciler:
-    """Releases lapsed claims while this node is the dispatcher."""
+    """Releases lapsed claims while this node is the leader."""
 
     def __init__(
         self, client: StateClient, view: WatchedView, session: Session, active: Callable[[], bool], batch: int
--- a/gingerspar/coordination/jobs/relay.py
+++ b/gingerspar/coordination/jobs/relay.py
@@ -34,7 +34,8 @@
     async def forward(self, peer: str, method: str, path: str, body: bytes) -> Answer:
         """Forwards a request to a peer over the link and returns the peer's answer, or 503 if none arrives in time.
 
-        Without this, users would fail for the seconds that the load balancer needs to redirect them to another node.
+        Without the relay, users' requests would fail until the load balancer redirects them to another node, which
+        takes seconds.
         """
         try:
             text = body.decode()
--- a/gingerspar/coordination/leader/dispatcher.py
+++ b/gingerspar/coordination/leader/dispatcher.py
@@ -73,7 +73,7 @@
         teams: Iterable[TeamFacts],
         *,
         objectives: Iterable[Objective] = (),
-        today: Callable[[], datetime] | None = None,
+        utc_now: Callable[[], datetime] | None = None,
         roster: Iterable[tuple[str, str, str, bool]] = (),
         nodes: int = 1,
     ) -> None:
@@ -81,7 +81,7 @@
         self._nodes = nodes
         self.raised_at = raised_at
         self.cluster_state = ClusterState(term, teams, objectives)
-        self._today = today
+        self._utc_now = utc_now
         self.pool = self.cluster_state.pool
         self.runs = self.cluster_state.runs
         self.backlog = self.cluster_state.backlog
@@ -157,8 +157,8 @@
 
     def _new_run(self, record: JobRecord, finished: TaskSet, now: timedelta) -> JobRun:
         run = JobRun(record.spec, record, finished.copy(), finished.copy(), submitted=now)
-        if self._today is not None:
-            age = self._today().timestamp() - record.submitted
+        if self._utc_now is not None:
+            age = self._utc_now().timestamp() - record.submitted
             run.submitted = now - timedelta(seconds=max(age, 0.0))
         run.open.update(finished.missing())
         run.has_started = len(finished) > 0
--- a/gingerspar/coordination/leader/term_manager.py
+++ b/gingerspar/coordination/leader/term_manager.py
@@ -337,7 +337,7 @@
             self._facts.workers,
             self._facts.teams,
             objectives=self._facts.objectives,
-            today=self._clock.today,
+            utc_now=self._clock.utc_now,
             roster=roster,
             nodes=self._facts.size,
         )
--- a/gingerspar/coordination/machines/cloud.py
+++ b/gingerspar/coordination/machines/cloud.py
@@ -24,7 +24,7 @@
 
 
 class CloudClient:
-    """Sends requests to the cloud. The dispatcher makes nearly all of them.
+    """Sends requests to the cloud. The leader sends nearly all of them.
 
     Each method waits for this node's request budget, and raises ``CloudError`` when the cloud does not
     answer with success.
--- a/gingerspar/coordination/machines/fleet.py
+++ b/gingerspar/coordination/machines/fleet.py
@@ -345,9 +345,10 @@
 ) -> list[Machine]:
     """Machines to return to the cloud.
 
-    These are lost machines, machines that are leaving and empty, machines that have been booting for
-    too long, and ready machines that have been idle for their idle limit (``max_idle`` at most) or
-    are surplus, unless a waiting job could use them.
+    These are lost machines, empty leaving machines without a spot notice (the cloud takes back
+    machines with a notice), machines that have been booting for too long, and ready machines
+    that have been idle for their idle limit (``max_idle`` at most) or are surplus, unless a
+    waiting job could use them.
     """
     found = cluster_state.pool.in_states(MachineState.LOST)
     found += [m for m in cluster_state.pool.in_states(MachineState.LEAVING) if not m.live and m.spot_notice_at is None]
--- a/gingerspar/coordination/machines/roster.py
+++ b/gingerspar/coordination/machines/roster.py
@@ -151,11 +151,11 @@
         try:
             version = await self._client.commit(Transaction(conditions, [*puts]), urgency)
         except (Conflict, OutcomeUnknown) as error:
-            log.debug("roster: %r", error)
+            log.debug("roster write failed: %r", error)
             await self._view.barrier(timedelta(seconds=1))
             return False
         except (LeaseExpired, Unavailable) as error:
-            log.debug("roster: %r", error)
+            log.debug("roster write failed: %r", error)
             return False
         for put in puts:
             self._view.apply(put.key, bytes(put.value), version)
--- a/gingerspar/coordination/membership/reachability.py
+++ b/gingerspar/coordination/membership/reachability.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 REACHABILITY_FRESH_FOR = timedelta(seconds=1.5)  # age up to which a report or an answer shows that workers are reached
-PROBES_PER_ROUND = 3  # machines
+PROBES_PER_ROUND = 3  # number of machines probed in one round
 ROUND_INTERVAL = timedelta(seconds=0.5)  # pause between two rounds of probes
 PROBE_TIMEOUT = timedelta(seconds=0.7)  # for one answer
 MAX_ROUND_DELAY = timedelta(seconds=0.4)  # beyond PROBE_TIMEOUT; a longer round shows only that this node is late
--- a/gingerspar/coordination/membership/session.py
+++ b/gingerspar/coordination/membership/session.py
@@ -55,7 +55,7 @@
     def _move(self, state: SessionState, why: str) -> None:
         """The only place where the session's state changes."""
         if (self.state, state) not in _ALLOWED:
-            raise RuntimeError(f"session: {self.state} to {state}")
+            raise RuntimeError(f"session: invalid state change from {self.state} to {state}")
         log.info("session %s -> %s: %s", self.state.value, state.value, why)
         self.state = state
         for listener in self.on_change:
@@ -91,7 +91,7 @@
                 if self.state is not SessionState.NONE:
                     self._move(SessionState.NONE, "lease has expired")
             except (Unavailable, OutcomeUnknown) as error:
-                log.debug("session: %s", error)
+                log.debug("session request failed: %s", error)
                 await asyncio.sleep(0.3)
 
     async def _resume(self) -> bool:
@@ -120,7 +120,7 @@
         if self.state is SessionState.NONE:
             self._lease = await self._client.grant(self._ttl)
             self._move(SessionState.LEASED, f"lease {self._lease}")
-        value = records.pack(NodeRecord(started=self._clock.today().timestamp(), lease=self._lease))
+        value = records.pack(NodeRecord(started=self._clock.utc_now().timestamp(), lease=self._lease))
         transaction = Transaction(
             # Conditional, so that a delayed put of an earlier session cannot replace this one unnoticed.
             [KeyVersion(self._key, self._view.nodes.get(self._node, 0))],
--- a/gingerspar/coordination/membership/term.py
+++ b/gingerspar/coordination/membership/term.py
@@ -39,13 +39,16 @@
     return max(difference - margin, timedelta(0))
 
 
-MIN_AUTHORITY_READS = 2  # successful reads that a leader should be able to send within L; one may be late
+# Successful reads that a leader should be able to send within ``authority_duration``, because one may be late.
+MIN_AUTHORITY_READS = 2
 
 
 def cancel_limit_problem(facts: Facts) -> str | None:
-    """An error text if ``cancel_s`` is so short that a leader cannot read the state service often enough for L.
+    """An error text if ``cancel_s`` is so short that a leader cannot read the state service often enough.
 
-    None if ``cancel_s`` is long enough. If it is not, most workers are not answered in time and their
+    Often enough means ``MIN_AUTHORITY_READS`` times within ``authority_duration``.
+
+    Returns None if ``cancel_s`` is long enough. If it is not, most workers are not answered in time and their
     leases expire, because an answer given later could keep tasks alive that have just been cancelled.
     """
     workers, required = facts.workers, read_interval(facts.state.rps, facts.size) * MIN_AUTHORITY_READS
@@ -91,7 +94,7 @@
     leader: str | None
     leader_session_alive: bool
     leader_is_this_process: bool
-    workers: int  # number that reported to this node within the last seconds
+    workers: int  # number that reported to this node within the last few seconds
     switched_workers: int  # of these, workers that the current leader had (they have seen its token)
     switched_workers_needed: int
     term_seen_at: timedelta  # when this node first saw the current term
--- a/gingerspar/protocol/messages.py
+++ b/gingerspar/protocol/messages.py
@@ -242,7 +242,7 @@
     spot: bool = False
     # Time until the cloud takes a spot machine away; None: no notice.
     notice_s: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_NOTICE_S)] | None = None
-    # Left encoded: the dispatcher decodes it, with ``task_list``, only if it differs from the previous report's.
+    # Left encoded: the leader decodes it, with ``task_list``, only if it differs from the previous report's.
     tasks: msgspec.Raw = msgspec.Raw(b"[]")
 
     def task_list(self) -> list[TaskReport]:
--- a/gingerspar/storage/records.py
+++ b/gingerspar/storage/records.py
@@ -148,7 +148,7 @@
 class Footprint(msgspec.Struct, frozen=True):
     """Resources that each task of an ended job occupies while it is still on a machine, and their owner.
 
-    Kept for every ended job regardless of age, so equal footprints share one object.
+    Kept in memory for every ended job regardless of age, so equal footprints share one object.
     """
 
     jobclass: str
--- a/gingerspar/storage/view.py
+++ b/gingerspar/storage/view.py
@@ -33,14 +33,15 @@
 
 NEVER = timedelta(days=-10000)  # value of ``read_sent`` before the first read
 READ_TIMEOUT = timedelta(seconds=1.5)  # without an answer within this time, a read has failed
-# If the read interval is longer than this, a call of ``next_read`` makes the loop read without waiting for its end.
+# If the read interval is longer than this, ``next_read`` triggers a read before the interval has passed.
 READ_ON_DEMAND_ABOVE = timedelta(seconds=0.5)
 READ_RETRY_AFTER = timedelta(seconds=0.3)  # without an answer within this time, a second read is sent
 
 
 # Fraction of a node's even share of the request limit that the leader uses for regular reads.
 LEADER_READ_SHARE = 0.30
-# The same for nodes that don't command machines: they seldom wait for changes written by peers.
+# Fraction of a node's even share of the request limit that each other node uses for regular reads. These nodes seldom
+# wait for changes written by peers.
 FOLLOWER_READ_SHARE = 0.15
 
 
@@ -101,7 +102,7 @@
         self._footprints: dict[Footprint, Footprint] = {}  # one shared object for all equal footprints
         self._read_requested = asyncio.Event()
         self._barriers: list[asyncio.Future[None]] = []
-        self._shared_barrier: asyncio.Future[None] | None = None  # the one that ``next_read`` returns
+        self._shared_barrier: asyncio.Future[None] | None = None  # returned by ``next_read``, also in ``_barriers``
         self.on_job: list[Callable[[str], None]] = []
         self.on_node: list[Callable[[str], None]] = []
         self.on_term: list[Callable[[], None]] = []
--- a/gingerspar/transport/clock.py
+++ b/gingerspar/transport/clock.py
@@ -11,6 +11,6 @@
         """Monotonic time; only differences are meaningful."""
         return timedelta(seconds=time.monotonic())
 
-    def today(self) -> datetime:
+    def utc_now(self) -> datetime:
         """Wall-clock date and time in UTC; the nodes' clocks differ by at most the bound in the settings."""
         return datetime.now(UTC)
--- a/gingerspar/transport/peerlink.py
+++ b/gingerspar/transport/peerlink.py
@@ -151,7 +151,7 @@
         """Time since the connection to the peer was established; zero if it is down."""
         return self._outgoing[peer].age
 
-    def redial(self, peer: str) -> None:
+    def reconnect(self, peer: str) -> None:
         """Closes the connection, so that a new one is made: a packet filter may have dropped it silently."""
         self._outgoing[peer].close()
 
--- a/tests/standins/simulated_time.py
+++ b/tests/standins/simulated_time.py
@@ -52,7 +52,7 @@
     def now(self) -> timedelta:
         return timedelta(seconds=asyncio.get_running_loop().time())
 
-    def today(self) -> datetime:
+    def utc_now(self) -> datetime:
         return START_TIME + self.now()
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -192,7 +192,7 @@
     """kerlann-fonts-ops inc-e135: the largest rendering jobs were not claimed before four minutes had passed."""
     world = World()
     spec = messages.parse_job(job(2, Pieces=9))
-    just_now = world.a._clock.today().timestamp()
+    just_now = world.a._clock.utc_now().timestamp()
     other_claim = JobRecord(spec, JobStatus.RUNNING, 1, Claimant("B", 2), submitted=just_now)
     world._put(records.job_key("wk-000002"), other_claim)
     world.read(world.a._view)
