--- a/bench/acceptance.py
+++ b/bench/acceptance.py
@@ -125,7 +125,7 @@
     delayed_jobs = {job: (jobclass, size == "among") for job, jobclass, size in _NOT_STARTED_LINE.findall(output)}
     outcome.not_started = len(delayed_jobs)
     largest = Counter(jobclass for jobclass, is_largest in delayed_jobs.values() if is_largest)
-    outcome.reasons += [f"{count} of the largest of {name} not begun" for name, count in sorted(largest.items())]
+    outcome.reasons += [f"{count} of the largest of {name} not started" for name, count in sorted(largest.items())]
 
 
 _MARK_LINE = re.compile(r"^\S+ +\d+ +([\d.]+) +\d+/\d+", re.MULTILINE)
@@ -178,7 +178,7 @@
 
 def table(outcomes: list[Outcome]) -> Table:
     rows = Table("site", "size", "day", "seed", "mark", "cost", "lowest class started, done", "team", "killed", "MB",
-                  "connections", "not begun", "fails")  # fmt: skip
+                  "connections", "not started", "fails")  # fmt: skip
     for outcome in outcomes:
         scenario_run = outcome.scenario_run
         rows.add_row(
--- a/bench/leader_load.py
+++ b/bench/leader_load.py
@@ -279,7 +279,9 @@
     if profiler is not None:
         profiler.enable()
     decision_s = checks = 0.0
-    print("minute deciding_s longest_pass_s looks waiting_runs waiting_tasks urgent_p50_s urgent_p95_s peak_mb")
+    print(
+        "minute decision_s max_decision_s machine_checks waiting_runs waiting_tasks urgent_p50_s urgent_p95_s peak_mb"
+    )
     for minute in range(minutes):
         if minute == 1 and gone:
             load.silence_machines(gone)
--- a/tests/standins/cloud.py
+++ b/tests/standins/cloud.py
@@ -15,8 +15,8 @@
 from tests.standins.worker import CPUS_PER_WORKER, Worker
 
 GANG_WAIT_S = 10.0  # a member ends as incomplete if its gang is not complete by then
-GANG_PEER_TIMEOUT_S = 1.0  # after this long the members of a running gang notice that one of them is lost
-LISTED_AFTER_FAILURE_S = 30.0  # a failed machine is machines as running for this long
+GANG_PEER_TIMEOUT_S = 1.0  # after this time the members of a running gang notice that one of them is lost
+LISTED_AFTER_FAILURE_S = 30.0  # the cloud still lists a failed machine as running for this long
 # Specification of the jobs that are not in ``Cloud.jobs``.
 ARRAY_JOB = {"Shape": "batch", "Cpus": 4.0, "Crew": "red", "Pieces": 1_000_000, "SamePlace": False, "GuessS": None}
 
@@ -72,7 +72,7 @@
 
     async def handle(self, request: Request) -> Answer:
         if self.down:
-            return answer(503, {"error": "trouble"})
+            return answer(503, {"error": "unavailable"})
         if request.path == "/catalog":
             return answer(200, catalog(self.zones, self.startup_s))
         body: Any = msgspec.json.decode(request.body) if request.body else {}
@@ -114,7 +114,7 @@
         self.failed_workers[name] = (worker, asyncio.get_running_loop().time())
 
     def maybe_duplicate_report(self, node: str, body: bytes) -> None:
-        """Delivers the report to the same controller again, or stores it for the next leader, if the test says so."""
+        """Delivers the report to the same controller again, or stores it for the next leader, as set by the test."""
         delay_s = self.duplicate_delay()
         if delay_s > 0:
             self._schedule_duplicate(delay_s, node, body)
--- a/tests/standins/failures.py
+++ b/tests/standins/failures.py
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, cluster: Cluster, users: Users, random: Random, *, more: bool = False) -> None:
-        """``more``: with the kinds of failures added under "More meetings to hunt", and only their combinations."""
+        """``more``: adds a second set of kinds of failures, and uses the combinations of that set only."""
         self.cluster = cluster
         self.users = users
         self.random = random
@@ -161,7 +161,7 @@
         await self._refuse_nodes({name for name in NODE_NAMES if self.random.random() < 0.5}, duration)
 
     async def state_refuses_leader(self, duration: float) -> None:
-        """The state service refuses the leader, links between controllers are all up or all down, and users cancel."""
+        """The state service refuses the leader, users cancel jobs, and in half of the cases all peer links fail."""
         links = self._isolate(set(NODE_NAMES), duration) if self.random.random() < 0.5 else asyncio.sleep(0)
         cancelling = self.users.cancel_running_jobs(self.random.uniform(0, 1))
         await asyncio.gather(self._refuse_nodes({self.leader()}, duration), links, cancelling)
@@ -275,7 +275,7 @@
         for worker in workers:
             worker.answer_delay = lambda: 0.0
 
-    # -- failures added under "More meetings to hunt" -------------------------
+    # -- second set of failures (``more``) ------------------------------------
 
     async def workers_pause(self, duration: float) -> None:
         for worker in self.some_workers():
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -10,7 +10,7 @@
 MAX_WAIT_S = 90.0  # after the last failure has ended, no job may wait longer although a machine has capacity
 POLL_INTERVAL_S = 2.0  # mean interval between two status queries for a job
 REQUEST_TIMEOUT_S = 2.0  # of all requests but POST, which has 5 s
-SUBMIT_RETRY_S = 60.0  # a submission is repeated for this long
+SUBMIT_RETRY_S = 60.0  # a submission without a final response is repeated for this time
 MAX_SILENCE_S = 75.0  # after the last failure has ended, no job may be without a status response for longer
 FINAL_STATUSES = ("done", "aborted")
 
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -66,8 +66,8 @@
         ]
 
     def stop(self) -> None:
-        for loop in self.background_tasks:
-            loop.cancel()
+        for task in self.background_tasks:
+            task.cancel()
         self.server.stop()
         self.drop_tasks()
 
--- a/tests/test_capacity_index.py
+++ b/tests/test_capacity_index.py
@@ -1,7 +1,7 @@
 """The capacity index gives the same result at any time as a scan of all machines.
 
-The text of the class ``Days`` and of its docstring is part of the seed of the generated cases (Hypothesis hashes the
-source of a state machine, without comments): renaming anything in it changes these cases.
+The source of the class ``RandomSteps``, with its docstrings, is part of the seed of the generated cases (Hypothesis
+hashes the source of a state machine, without comments): renaming anything in it changes these cases.
 """
 
 from datetime import timedelta
@@ -32,8 +32,8 @@
     return JobSpec(job, "c", "red", Shape.ARRAY, priority, 50, cpus, 4 * cpus, gpus, **changes)  # type: ignore[arg-type]
 
 
-# Kinds of task whose capacity is queried after each step.
-ASKED = [
+# Specifications of tasks for which the capacity is queried after each step.
+QUERIED_SPECS = [
     _spec(1, URGENT, 15.0),
     _spec(2, URGENT, 6.0, one_zone=True, spot=True),
     _spec(3, Priority.NORMAL, 10.0, 1.0, spot=True),
@@ -41,18 +41,19 @@
 ]
 
 
-# A random sequence of steps on three machines at first: tasks are placed, move on, end and are preempted; capacity is
-# reserved and released; machines are drained, replaced and added to the roster.
-class Days(RuleBasedStateMachine):
-    """Tasks, bookings and machines come and go in any order."""
+class RandomSteps(RuleBasedStateMachine):
+    """Random steps on a fleet of three machines; after each, the index is compared with a scan of all machines.
+
+    Tasks are placed, run, end and are stopped; capacity is reserved and released; machines are drained and replaced.
+    """
 
     @initialize()
-    def begin(self) -> None:
+    def add_machines(self) -> None:
         self.now = timedelta(0)
         self.cluster_state = ClusterState(1, [TeamFacts("red")])
         self.cluster_state.set_types(KINDS)
-        self.numbers = 0
-        self.booked: list[JobRun] = []
+        self.last_number = 0
+        self.reserved_runs: list[JobRun] = []
         for number in range(MACHINES):
             self._add(f"n-{number}", number)
 
@@ -72,15 +73,15 @@
         return run
 
     @rule(at=st.integers(0, 99), urgent=st.booleans(), cpus=st.sampled_from([2.5, 7.0]), cards=st.booleans())
-    def start(self, at: int, urgent: bool, cpus: float, cards: bool) -> None:
+    def place_task(self, at: int, urgent: bool, cpus: float, cards: bool) -> None:
         machine = self._pick(at)
-        self.numbers += 1
-        spec = _spec(100 + self.numbers, URGENT if urgent else ROUTINE, cpus, 1.0 if cards else 0.0)
+        self.last_number += 1
+        spec = _spec(100 + self.last_number, URGENT if urgent else ROUTINE, cpus, 1.0 if cards else 0.0)
         if machine.state is MachineState.READY and machine.tasks_that_fit(spec):
             self.cluster_state.add_placement(self._run(spec), Placement(spec, 0, 1, machine, TaskState.SENT, self.now))
 
     @rule(at=st.integers(0, 99), which=st.integers(0, 99), step=st.sampled_from([TaskState.RUNNING, None]))
-    def go_on(self, at: int, which: int, step: TaskState | None) -> None:
+    def run_or_end_task(self, at: int, which: int, step: TaskState | None) -> None:
         live = list(self._pick(at).live.values())
         if live:
             placement = live[which % len(live)]
@@ -90,47 +91,47 @@
                 self.cluster_state.move_task(placement, step, self.now)
 
     @rule(at=st.integers(0, 99), which=st.integers(0, 99))
-    def stop(self, at: int, which: int) -> None:
+    def stop_task(self, at: int, which: int) -> None:
         live = list(self._pick(at).live.values())
         if live:
             self.cluster_state.stop_task(live[which % len(live)], timedelta(0), self.now)
 
     @rule(at=st.integers(0, 99), count=st.integers(1, 3))
-    def keep_room(self, at: int, count: int) -> None:
-        self.numbers += 1
-        run = self._run(_spec(100 + self.numbers, URGENT, 5.0))
+    def reserve_capacity(self, at: int, count: int) -> None:
+        self.last_number += 1
+        run = self._run(_spec(100 + self.last_number, URGENT, 5.0))
         self.cluster_state.reserve(run, {self._pick(at): count}, self.now)
-        self.booked.append(run)
+        self.reserved_runs.append(run)
 
     @rule()
-    def give_room_up(self) -> None:
-        if self.booked:
-            self.cluster_state.release_reservation(self.booked.pop(0))
+    def release_capacity(self) -> None:
+        if self.reserved_runs:
+            self.cluster_state.release_reservation(self.reserved_runs.pop(0))
 
     @rule(at=st.integers(0, 99))
-    def leave(self, at: int) -> None:
+    def drain_machine(self, at: int) -> None:
         machine = self._pick(at)
         if machine.state is MachineState.READY:
             machine.move(MachineState.LEAVING)
 
     @rule(at=st.integers(0, 99))
-    def replace(self, at: int) -> None:
+    def replace_machine(self, at: int) -> None:
         machine = self._pick(at)
-        if any(machine in run.reserved for run in self.booked):
+        if any(machine in run.reserved for run in self.reserved_runs):
             return
         machine.move(MachineState.RETURNING)
         self.cluster_state.remove_machine(machine, self.now)
-        self.numbers += 1
-        self._add(f"n-{self.numbers + MACHINES}", self.numbers)
+        self.last_number += 1
+        self._add(f"n-{self.last_number + MACHINES}", self.last_number)
 
     @rule(seconds=st.integers(1, 30))
-    def wait(self, seconds: int) -> None:
+    def advance_time(self, seconds: int) -> None:
         self.now += timedelta(seconds=seconds)
 
-    # Compares the index with the free slots, and the slots gained by preemption, computed for each machine.
     @invariant()
-    def same_as_going_through_all(self) -> None:
-        for spec in ASKED:
+    def index_equals_full_scan(self) -> None:
+        """Compares the index with the free slots, and the slots gained by preemption, computed for each machine."""
+        for spec in QUERIED_SPECS:
             index = self.cluster_state.pool.capacity(spec)
             rank = spec.priority.rank
             expected: dict[str, tuple[int, int]] = {}
@@ -143,25 +144,27 @@
                 cpus, gpus, memory = machine.free()
                 for placement in machine.live.values():
                     if placement.spec.priority.rank > rank:
-                        theirs = placement.spec
-                        cpus, gpus, memory = cpus + theirs.cpus, gpus + theirs.gpus, memory + theirs.memory_gb
+                        other = placement.spec
+                        cpus, gpus, memory = cpus + other.cpus, gpus + other.gpus, memory + other.memory_gb
                 more = fits(spec, cpus, gpus, memory) - free
                 if free or more:
                     expected[machine.name] = (free, more)
-            assert {name: (p.free, p.by_stopping) for name, p in index.capacities.items()} == expected
+            assert {
+                name: (capacity.free, capacity.by_stopping) for name, capacity in index.capacities.items()
+            } == expected
             assert set(index.free) == {name for name, (free, _) in expected.items() if free}
             total = sum(free + more for free, more in expected.values())
-            assert sum(places.total for _, places in index.totals()) == total
+            assert sum(capacity.total for _, capacity in index.totals()) == total
             ranked = [machine.name for machine in index.by_stop_cost(self.now)]
             assert sorted(ranked) == sorted(name for name, (_, more) in expected.items() if more)
 
 
-TestCapacityIndex = Days.TestCase
+TestCapacityIndex = RandomSteps.TestCase
 TestCapacityIndex.settings = settings(max_examples=40, stateful_step_count=50, derandomize=True, deadline=None)
 
 
 def test_number_of_cached_kinds_is_limited() -> None:
-    """Jobs whose tasks all differ a little must not make every change of a machine more expensive for good."""
+    """Jobs whose tasks all differ a little must not make every change of a machine more expensive from then on."""
     cluster_state = ClusterState(1, [TeamFacts("red")])
     for number in range(3 * MAX_INDEXES):
         cluster_state.pool.capacity(_spec(number, URGENT, 1.0 + number / 100))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,6 +1,6 @@
 """Races between claims, sweeps and late results, run against the state service stand-in.
 
-The late-result table of the write-up lists them.
+The races are those of the late-result table of the write-up.
 """
 
 import asyncio
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -10,7 +10,7 @@
 
 
 def test_claim_made_after_resigning_is_not_sent_to_the_node_itself() -> None:
-    """kerlann-fonts-grown hunt: the term record still named this node, so it sent the claim to itself and ended."""
+    """kerlann-fonts-grown hunt: the term record named this node; it sent itself the claim and its process ended."""
     controller = Controller(parse_settings(Cluster().settings("n0")), OperatorSettings())
     controller._view.term = (TermRecord(3, "n0", 7), 9)
     sent: list[Any] = []
--- a/tests/test_leader_runtime.py
+++ b/tests/test_leader_runtime.py
@@ -57,10 +57,10 @@
 
 def _runtime(cloud: Any, dispatcher: Dispatcher, age: list[timedelta]) -> LeaderRuntime:
     view: Any = SimpleNamespace(on_job=[], final={}, roster={}, age=lambda: age[0], final_spec=lambda job: None)
-    rest: Any = SimpleNamespace()
+    unused: Any = SimpleNamespace()
     facts: Any = SimpleNamespace(cloud=SimpleNamespace(list_lag=timedelta(seconds=3)))
     return LeaderRuntime(
-        "n1", dispatcher, rest, view, rest, cloud, Clock(), facts, OperatorSettings(),
+        "n1", dispatcher, unused, view, unused, cloud, Clock(), facts, OperatorSettings(),
         lambda: True, lambda node, jobs: None, lambda node, job, attempt: None,
         lambda: Answer(421, b"{}"), lambda: None, LoadMonitor(Clock()), Random(1),
     )  # fmt: skip
@@ -169,7 +169,7 @@
 
 
 def test_single_pause_is_no_overload() -> None:
-    """The clocks of the paused controller ran on for 24 s; afterwards it has as much processor time as before."""
+    """The clock ran on while the controller was paused for 24 s; then it has as much processor time as before."""
     load_monitor = LoadMonitor(Clock())
     load_monitor.record_lateness(timedelta(seconds=24), timedelta(seconds=24))
     assert load_monitor.state is LoadState.NORMAL
--- a/tests/test_process_restarts.py
+++ b/tests/test_process_restarts.py
@@ -36,13 +36,13 @@
 async def _answer_after_restart() -> Answer:
     """The previous and the present process forward to the same peer; both answers reach the present process."""
     link: Any = _Link()
-    no_serve: Any = SimpleNamespace()
+    unused_handler: Any = SimpleNamespace()
     previous_request = asyncio.ensure_future(
-        RequestRelay("n1", link, no_serve).forward("n2", "GET", "/v1/jobs/wk-000001", b"")
+        RequestRelay("n1", link, unused_handler).forward("n2", "GET", "/v1/jobs/wk-000001", b"")
     )
     await asyncio.sleep(0)
     previous_request.cancel()
-    relay = RequestRelay("n1", link, no_serve)
+    relay = RequestRelay("n1", link, unused_handler)
     request = asyncio.ensure_future(relay.forward("n2", "GET", "/v1/jobs/wk-000002", b""))
     await asyncio.sleep(0)
     first, second = link.sent
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -86,7 +86,7 @@
 
 
 def test_pass_checks_only_changed_machines() -> None:
-    """On grown deployments every pass used to compare every machine with every open task."""
+    """On the "grown" deployments every placement pass used to compare every machine with every open task."""
     fleet = Fleet()
     fleet.add_job(1, MACHINES * TASKS_PER_MACHINE)
     assert fleet.place() <= 2 * MACHINES
@@ -143,7 +143,7 @@
 
 
 def test_machine_checks_do_not_grow_with_gangs_times_machines() -> None:
-    """On fleet deployments each waiting gang used to check every machine once a second."""
+    """On the "fleet" deployments each waiting gang used to check every machine once a second."""
     base = _machine_checks(150, 75, 60)
     # Each additional machine is checked once when a kind of task is placed for the first time.
     first_checks = 600 - 150
