--- a/tests/standins/cloud.py
+++ b/tests/standins/cloud.py
@@ -72,7 +72,7 @@
 
     async def handle(self, request: Request) -> Answer:
         if self.down:
-            return answer(503, {"error": "unavailable"})
+            return answer(503, {"error": "trouble"})
         if request.path == "/catalog":
             return answer(200, catalog(self.zones, self.startup_s))
         body: Any = msgspec.json.decode(request.body) if request.body else {}
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -57,7 +57,7 @@
     async def handle(self, request: Request, node: str) -> Answer:
         await asyncio.sleep(self.response_delay())
         if self.down or node in self.refused_nodes:
-            return answer(503, {"error": "unavailable"})
+            return answer(503, {"error": "trouble"})
         self.expire()
         query = {name: values[0] for name, values in parse_qs(request.query).items()}
         if request.path == "/commit":
