--- a/bench/leader_load.py
+++ b/bench/leader_load.py
@@ -73,7 +73,7 @@
         self.random = random.Random(seed)
         self.now = timedelta(seconds=1)
         workers = WorkerFacts(report_s=2.5, lease_s=18, cancel_s=43, gang_wait_s=35, gang_peer_s=4)
-        self.leader = Dispatcher(1, timedelta(0), workers, [TeamFacts("red", cpus_max=limit)], today=None)
+        self.leader = Dispatcher(1, timedelta(0), workers, [TeamFacts("red", cpus_max=limit)], utc_now=None)
         self.leader.set_types(MACHINE_TYPES)
         self.workers: dict[str, Worker] = {}
         self.specs: dict[str, JobSpec] = {}
@@ -279,7 +279,9 @@
     if profiler is not None:
         profiler.enable()
     decision_s = checks = 0.0
-    print("minute deciding_s longest_pass_s looks waiting_runs waiting_tasks urgent_p50_s urgent_p95_s peak_mb")
+    print(
+        "minute decision_s max_decision_s machine_checks waiting_runs waiting_tasks urgent_p50_s urgent_p95_s peak_mb"
+    )
     for minute in range(minutes):
         if minute == 1 and gone:
             load.silence_machines(gone)
@@ -300,11 +302,12 @@
         backlog = load.leader.backlog.waiting.values()
         print(
             f"{minute + 1:6d} {load.decision_s - decision_s:10.2f} {load.max_decision_s:14.3f} "
-            f"{load.leader.pool.looked_at - checks:8.0f} {len(backlog):8d} {sum(len(r.open) for r in backlog):8d} "
+            f"{load.leader.pool.machines_checked - checks:8.0f} {len(backlog):8d} "
+            f"{sum(len(r.open) for r in backlog):8d} "
             f"{waits[len(waits) // 2]:10.1f} {waits[len(waits) * 95 // 100]:10.1f} "
             f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:8.0f}"
         )
-        decision_s, checks, load.max_decision_s = load.decision_s, load.leader.pool.looked_at, 0.0
+        decision_s, checks, load.max_decision_s = load.decision_s, load.leader.pool.machines_checked, 0.0
     if profiler is not None:
         profiler.disable()
         pstats.Stats(profiler).sort_stats("tottime").print_stats(28)
--- a/gingerspar/controller.py
+++ b/gingerspar/controller.py
@@ -44,7 +44,7 @@
 RELAY_AFTER = timedelta(seconds=0.8)  # without a state read for this time, a peer may serve users better
 MAX_HOLD_WITHOUT_LEADER = timedelta(seconds=2)  # workers stop waiting for an answer after 4 s
 PEER_CONTACT_LOST_AFTER = timedelta(seconds=1.5)
-REDIAL_AFTER = timedelta(seconds=2)
+RECONNECT_AFTER = timedelta(seconds=2)
 
 
 class Controller:
@@ -112,7 +112,7 @@
             self._reachability,
             self._contacts,
             self._clock,
-            self._term_manager.doubts_leader,
+            self._term_manager.should_probe_machines,
             self._addresses_to_probe,
             self._random,
         )
@@ -120,11 +120,11 @@
             self._client, self._view, self._session, self._term_manager.is_dispatching, operator.sweep_batch
         )
         self._view.on_term.append(self._term_changed)
-        self._claims.dispatcher_reachable = self._dispatcher_reachable
+        self._claims.leader_reachable = self._leader_reachable
         self._claims.hand_over = self._hand_over
         self._job_api.notify_cancelled = self._notify_cancelled
-        self._job_api.types = lambda: {kind.name: kind for kind in self._types}
-        self._job_api.running = self._running_count
+        self._job_api.machine_types = lambda: {machine_type.name: machine_type for machine_type in self._types}
+        self._job_api.running_task_count = self._running_count
         self._job_api.peer_has_state = self._peer_has_state
         self._job_api.has_peer_contact = self._has_peer_contact
 
@@ -215,8 +215,8 @@
             report = messages.decode(Report, request.body)
         except Malformed as error:
             return error_answer(400, str(error))
-        order = (report.session, report.seq)
-        self._contacts.add(report.machine, report.address, order, report.token, self._clock.now())
+        session_and_seq = (report.session, report.seq)
+        self._contacts.add(report.machine, report.address, session_and_seq, report.token, self._clock.now())
         if self._runtime is None:
             self._prober.probe_contacts()
         if self._runtime is not None and self._term_manager.has_authority():
@@ -231,8 +231,8 @@
     async def _hold_until_leader_found(self, report: Report) -> Answer:
         """Holds a worker's report while no leader is known, instead of sending the worker on.
 
-        The next node that the worker tries may be the one that has just gone down: that costs it
-        four seconds of its lease, and then another round of the nodes.
+        The next node that the worker tries may be the one that has just gone down. Waiting for its answer would
+        cost the worker four seconds of its lease, and then it would try all nodes once more.
         """
         await wait_for_event(self._leader_found, min(MAX_HOLD_WITHOUT_LEADER, max_hold_duration(self._facts.workers)))
         if self._runtime is not None and self._term_manager.has_authority():
@@ -340,7 +340,7 @@
             for node, peer_status in self._peer_status.items()
         )
 
-    def _dispatcher_reachable(self) -> bool:
+    def _leader_reachable(self) -> bool:
         term = self._view.term
         if term is None:
             return False
@@ -349,19 +349,19 @@
         leader = term[0].leader
         return leader != self._node and self._link.is_up(leader) and self._receives_from(leader)
 
-    def _redial_broken_links(self) -> None:
-        """Redials links that are silent either way: a connection may be lost without an error on one side."""
+    def _reconnect_broken_links(self) -> None:
+        """Reconnects links on which one side receives nothing: a connection may be lost without an error there."""
         for peer in self._link.peers:
             peer_status = self._peer_status.get(peer)
             works = self._receives_from(peer) and peer_status is not None and self._node in peer_status.receives_from
-            if not works and self._link.age(peer) > REDIAL_AFTER:
-                log.debug("redialling peer link to %s", peer)
-                self._link.redial(peer)
+            if not works and self._link.age(peer) > RECONNECT_AFTER:
+                log.debug("reconnecting peer link to %s", peer)
+                self._link.reconnect(peer)
 
     async def _run_heartbeats(self) -> None:
         counts_sent_at = self._clock.now()
         while True:
-            self._redial_broken_links()
+            self._reconnect_broken_links()
             self._wake_held_reports()
             self._link.broadcast(
                 peers.pack(
@@ -399,8 +399,8 @@
         """Splits the write and request limits of the state service among the nodes that can use them.
 
         A silent peer is assumed to need an even share, a peer without the state service none.
-        kerlann-fonts-fleet loss: the one controller of five that still had the state service claimed
-        everything again at the rate left beside four shares that nobody could use.
+        kerlann-fonts-fleet loss: the one controller of five that still had the state service claimed all jobs
+        again at the rate that was left beside four shares that no other controller could use.
         """
         even_share = self._facts.state.write_rps / max(self._facts.size, 1)
         live_peers = [peer_status for node, peer_status in self._peer_status.items() if self._receives_from(node)]
@@ -445,7 +445,7 @@
             case peers.Relayed():
                 self._request_relay.handle_answer(message)
             case peers.Reclaim():
-                self._claims.reclaim(message.job, message.attempt)
+                self._claims.request_reclaim(message.job, message.attempt)
 
     def _addresses_to_probe(self) -> list[str]:
         return self._runtime.sample_addresses() if self._runtime is not None else self._sample_addresses
@@ -470,8 +470,8 @@
     def _notify_cancelled(self, job: str, version: int, record: JobRecord) -> None:
         """Sends a cancellation to all peers, so that the leader stops the tasks at once.
 
-        The leader may have lost the state service, and may not be the node that this node takes for it. If the
-        message doesn't arrive, the tasks end with the leader's authority and the workers' leases.
+        The leader may have lost the state service, and may be another node than the one that this node knows as
+        leader. If the message doesn't arrive, the tasks end with the leader's authority and the workers' leases.
         """
         self._link.broadcast(self._pack_handover(job, version, record))
 
@@ -483,7 +483,7 @@
 
     def _request_reclaim(self, node: str, job: str, attempt: int) -> None:
         if node == self._node:
-            self._claims.reclaim(job, attempt)
+            self._claims.request_reclaim(job, attempt)
         elif self._runtime is not None and node in self._peer_status:
             self._link.send(node, peers.pack(peers.Reclaim(self._node, self._runtime.dispatcher.term, job, attempt)))
 
--- a/gingerspar/coordination/cluster/service_level.py
+++ b/gingerspar/coordination/cluster/service_level.py
@@ -69,7 +69,7 @@
         for name, level in self.classes.items():
             self._update_state(name, level)
         ready = pool.ready()
-        self.total_weight = sum(count * resource_weight(kind) for _, kind, count in ready)
+        self.total_weight = sum(count * resource_weight(machine_type) for _, machine_type, count in ready)
         lagging = self.lagging()
         if lagging:
             offers = [offer for offer, _, _ in ready]
@@ -81,10 +81,14 @@
 
     def _update_state(self, name: str, level: ServiceLevel) -> None:
         counted = level.done + level.overdue
-        share = level.done / counted if counted else 1.0
-        if level.state is ServiceLevelState.SERVED and counted >= MIN_COUNTED_JOBS and share < LAGGING_BELOW_FRACTION:
+        done_fraction = level.done / counted if counted else 1.0
+        if (
+            level.state is ServiceLevelState.SERVED
+            and counted >= MIN_COUNTED_JOBS
+            and done_fraction < LAGGING_BELOW_FRACTION
+        ):
             self._set_state(name, level, ServiceLevelState.LAGGING)
-        elif level.state is ServiceLevelState.LAGGING and share >= SERVED_FROM_FRACTION:
+        elif level.state is ServiceLevelState.LAGGING and done_fraction >= SERVED_FROM_FRACTION:
             self._set_state(name, level, ServiceLevelState.SERVED)
 
     @staticmethod
@@ -116,15 +120,15 @@
         level = self.classes.get(run.spec.jobclass)
         return level is not None and (machine.type, machine.zone, machine.spot) in level.contended_offers
 
-    def remaining_tasks(self, run: JobRun, *, to_begin: bool = False) -> int:
+    def remaining_tasks(self, run: JobRun, *, for_first_task: bool = False) -> int:
         """The number of tasks of the job that fit into the rest of the share.
 
-        With ``to_begin``, for the first task of a job whose start is overdue, the share is larger by
+        With ``for_first_task``, for the first task of a job whose start is overdue, the share is larger by
         ``FIRST_TASK_EXTRA_SHARE``, because lagging classes use all of the normal share (kerlann-fonts-fleet loss half
         as large again: five of the largest jobs had not started in time).
         """
         weight = resource_weight(run.spec)
-        share = LAGGING_SHARE + FIRST_TASK_EXTRA_SHARE if to_begin else LAGGING_SHARE
+        share = LAGGING_SHARE + FIRST_TASK_EXTRA_SHARE if for_first_task else LAGGING_SHARE
         return max(int((self.total_weight * share - self.used_weight) / weight), 0) if weight > 0 else 0
 
     def task_placed(self, placement: Placement) -> None:
--- a/gingerspar/coordination/jobs/reconciler.py
+++ b/gingerspar/coordination/jobs/reconciler.py
@@ -34,7 +34,7 @@
 
 
 class Reconciler:
-    """Releases lapsed claims while this node is the dispatcher."""
+    """Releases lapsed claims while this node is the leader."""
 
     def __init__(
         self, client: StateClient, view: WatchedView, session: Session, active: Callable[[], bool], batch: int
@@ -43,7 +43,7 @@
         self._view = view
         self._session = session
         self._active = active
-        self._batch = min(batch, client.most_puts)
+        self._batch = min(batch, client.max_puts)
 
     async def run(self) -> None:
         while True:
--- a/gingerspar/coordination/machines/roster.py
+++ b/gingerspar/coordination/machines/roster.py
@@ -121,7 +121,7 @@
         for key, record in changed.items():
             put = Put(key, records.pack(record))
             size += len(put.value) + 200
-            if puts and (size > MAX_TXN_BYTES or len(puts) >= self._client.most_puts):
+            if puts and (size > MAX_TXN_BYTES or len(puts) >= self._client.max_puts):
                 self._wake.set()  # the rest goes with the next transaction
                 break
             puts.append(put)
@@ -151,11 +151,11 @@
         try:
             version = await self._client.commit(Transaction(conditions, [*puts]), urgency)
         except (Conflict, OutcomeUnknown) as error:
-            log.debug("roster: %r", error)
+            log.debug("roster write failed: %r", error)
             await self._view.barrier(timedelta(seconds=1))
             return False
         except (LeaseExpired, Unavailable) as error:
-            log.debug("roster: %r", error)
+            log.debug("roster write failed: %r", error)
             return False
         for put in puts:
             self._view.apply(put.key, bytes(put.value), version)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -87,10 +87,10 @@
 def test_write_limit_is_divided_by_demand() -> None:
     busy, idle = _client(Clock()), _client(Clock())
     idle.share_writes([20.0, 0.0, 0.0, 0.0])
-    assert idle.most_puts <= 3
+    assert idle.max_puts <= 3
     busy._writes._demand = 20.0
     busy.share_writes([0.0, 0.0, 0.0, 0.0])
-    assert busy.most_puts >= 12
+    assert busy.max_puts >= 12
 
 
 def test_limits_of_nodes_without_the_state_service_go_to_the_others() -> None:
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -15,7 +15,7 @@
 def _estimates_after_jobs(*estimates: float) -> Estimates:
     history = Estimates()
     for number, estimate in enumerate(estimates):
-        history.job(_spec(number, estimate))
+        history.add_job(_spec(number, estimate))
     return history
 
 
@@ -34,7 +34,7 @@
     history = _estimates_after_jobs(40.0, 60.0, 80.0)
     for _ in range(300):
         for estimate in (40.0, 60.0, 80.0):
-            history.task(_spec(1, estimate), timedelta(seconds=30))
+            history.add_run_time(_spec(1, estimate), timedelta(seconds=30))
     assert _predicted_s(history, 40.0) == pytest.approx(30.0, abs=2)
     assert _predicted_s(history, 80.0) == pytest.approx(30.0, abs=2)
 
@@ -42,8 +42,8 @@
 def test_accurate_estimates_are_trusted() -> None:
     history = _estimates_after_jobs(20.0, 200.0)
     for _ in range(500):
-        history.task(_spec(1, 20.0), timedelta(seconds=20))
-        history.task(_spec(2, 200.0), timedelta(seconds=200))
+        history.add_run_time(_spec(1, 20.0), timedelta(seconds=20))
+        history.add_run_time(_spec(2, 200.0), timedelta(seconds=200))
     assert _predicted_s(history, 20.0) == pytest.approx(20.0, abs=2)
     assert _predicted_s(history, 200.0) == pytest.approx(200.0, abs=20)
 
--- a/tests/tracing.py
+++ b/tests/tracing.py
@@ -191,7 +191,7 @@
 
     def _notified(self, words: list[str]) -> None:
         """Notifies a machine of the token directly, after a probe for its status has returned this report."""
-        self.dispatcher.notified_directly(self.dispatcher.machines[words[0]], self._read_report(words))
+        self.dispatcher.record_direct_notification(self.dispatcher.machines[words[0]], self._read_report(words))
 
     def _report(self, words: list[str]) -> None:
         """Handles a report: ``report m1 seq=3 token=1 tasks=wk-1/0@1:running,wk-2/0@1:ended:done``."""
