--- a/tests/test_long_failures.py
+++ b/tests/test_long_failures.py
@@ -1,4 +1,4 @@
-"""Meetings that last, by simulated time: longer than a lease, ten changes of leader, more work than room."""
+"""Long combined failures in simulated time: longer than a lease, ten changes of leader, more work than capacity."""
 
 import asyncio
 from random import Random
@@ -13,18 +13,23 @@
 from tests.test_combined_failures import _cancelled, leader_and_others, on_machines, started
 
 
-async def _out_of_touch(who: str) -> None:
-    """For longer than a lease; the leader ends meanwhile, a job is cancelled, and then all is well again."""
+async def _lose_contact(failure: str) -> None:
+    """Two jobs run while workers and controllers lose contact for longer than a lease.
+
+    Either all controllers are down, or the reports of the workers with tasks reach no controller while commands still
+    reach these workers; in the second case the leader also restarts. After the failure job 2 is cancelled. At the end
+    the tasks of job 1 run and those of job 2 do not.
+    """
     cluster = await started(12, jobs=2, spare=True)
     try:
         busy = [worker for worker in cluster.cloud.workers.values() if worker.tasks]
-        if who == "all controllers":
+        if failure == "all controllers down":
             for name in NODE_NAMES:
                 await cluster.kill(name)
             await asyncio.sleep(LEASE_S + 3)
             for name in NODE_NAMES:
                 cluster.start_node(name)
-        else:  # machines that reach no controller, while commands reach them
+        else:
             for worker in busy:
                 worker.reachable_nodes = set()
             leader, _ = leader_and_others(cluster)
@@ -33,7 +38,7 @@
             for worker in busy:
                 worker.reachable_nodes = set(NODE_NAMES)
         assert await wait_until(lambda: _cancelled(cluster, 2), 20)
-        assert await wait_until(lambda: on_machines(cluster, 1) == 3, 30), "its work did not go on"
+        assert await wait_until(lambda: on_machines(cluster, 1) == 3, 30), "the tasks of job 1 do not run"
         await asyncio.sleep(10)
         assert (on_machines(cluster, 1), on_machines(cluster, 2)) == (3, 0)
         assert not cluster.violations
@@ -41,13 +46,16 @@
         await cluster.stop()
 
 
-@pytest.mark.parametrize("who", ["all controllers", "machines that are mute"])
-def test_out_of_touch_for_longer_than_a_lease(who: str) -> None:
-    run_simulated(_out_of_touch(who))
+@pytest.mark.parametrize("failure", ["all controllers down", "worker reports lost"])
+def test_no_contact_for_longer_than_a_lease(failure: str) -> None:
+    run_simulated(_lose_contact(failure))
+
 
+async def _change_leader_ten_times(*, outage: bool) -> None:
+    """Restarts the leader ten times in two minutes; with ``outage``, the state service is down during three of them.
 
-async def _ten_changes(*, outage: bool) -> None:
-    """Of the leader in two minutes; the state service is out during three of them, or is not."""
+    At the end both jobs run. Without the outage each task was started only once.
+    """
     cluster = await started(30, jobs=2, spare=True)
     terms: set[int] = set()
     try:
@@ -60,25 +68,30 @@
         assert len(terms) >= (7 if outage else 10)
         assert await wait_until(lambda: on_machines(cluster, 1) == on_machines(cluster, 2) == 3, 30)
         if not outage:
-            assert set(cluster.cloud.start_counts.values()) == {1}, "work was lost"
+            assert set(cluster.cloud.start_counts.values()) == {1}, "tasks were started again"
         assert not cluster.violations
     finally:
         await cluster.stop()
 
 
-@pytest.mark.parametrize("outage", [False, True], ids=["the state service is well", "in an outage"])
+@pytest.mark.parametrize("outage", [False, True], ids=["state service up", "state service outage"])
 def test_ten_changes_of_leader_in_two_minutes(outage: bool) -> None:
-    run_simulated(_ten_changes(outage=outage))
+    run_simulated(_change_leader_ten_times(outage=outage))
+
 
+async def _partition_zone(*, with_leader: bool) -> None:
+    """Partitions zone a, with its workers and one controller, from the rest for three leases.
 
-async def _zone_cut_off(*, with_leader: bool) -> None:
-    """With workers and a controller, for three leases; jobs on the zone's and on other machines are cancelled."""
+    The controller in the zone reaches neither the state service nor the other controllers; the workers in the zone
+    send their reports only to it and receive no direct commands. Meanwhile jobs 1, 3 and 4 are cancelled, which may run
+    in zone a, in zone b and in any zone. After the partition jobs 2 and 5 run, and nothing else.
+    """
     cluster = Cluster(3600, 12, clock=SimulatedClock(), zones=("a", "b"))
     cluster.cloud.startup_s, cluster.idle_return_s = 60.0, 600.0
     cluster.start()
     try:
-        for number, hall in enumerate(["a", "a", "b", None, "b"], 1):
-            assert await wait_until(lambda number=number, hall=hall: cluster.submit_job("n0", number, Hall=hall), 10)
+        for number, zone in enumerate(["a", "a", "b", None, "b"], 1):
+            assert await wait_until(lambda number=number, zone=zone: cluster.submit_job("n0", number, Hall=zone), 10)
         assert await wait_until(lambda: len(cluster.cloud.active_tasks()) == 15, 30)
         leader, others = leader_and_others(cluster)
         inside = leader if with_leader else others[0]
@@ -95,7 +108,7 @@
         for worker in cluster.cloud.workers.values():
             worker.reachable_nodes, worker.receives_no_commands = set(NODE_NAMES), False
         assert await wait_until(lambda: on_machines(cluster, 2) == on_machines(cluster, 5) == 3, 40), (
-            "work did not go on"
+            "jobs 2 and 5 do not run"
         )
         await asyncio.sleep(10)
         assert len(cluster.cloud.active_tasks()) == 6
@@ -105,12 +118,16 @@
 
 
 @pytest.mark.parametrize("with_leader", [True, False], ids=["with the leader", "with another controller"])
-def test_a_zone_is_cut_off_for_longer_than_a_lease(with_leader: bool) -> None:
-    run_simulated(_zone_cut_off(with_leader=with_leader))
+def test_zone_partitioned_for_longer_than_a_lease(with_leader: bool) -> None:
+    run_simulated(_partition_zone(with_leader=with_leader))
 
 
-async def _bound_to_a_zone() -> None:
-    """Arrays and gangs that may run in one zone only, or in one at a time, lose machines again and again."""
+async def _fail_machines_of_zone_bound_jobs() -> None:
+    """Arrays and gangs that may run only in one zone, or only within a single zone, lose machines again and again.
+
+    Every 4 s, six times, each machine with tasks fails with a probability of 30 %, and the leader restarts with a
+    probability of 40 %. All jobs end as done.
+    """
     cluster = Cluster(8.0, 12, clock=SimulatedClock(), zones=("a", "b", "c"), limits={"red": 60.0})
     users = Users(cluster, Random(3))
     random = Random(8)
@@ -144,11 +161,15 @@
 
 
 def test_jobs_bound_to_one_zone_lose_machines() -> None:
-    run_simulated(_bound_to_a_zone())
+    run_simulated(_fail_machines_of_zone_bound_jobs())
+
 
+async def _submit_more_work_than_capacity() -> None:
+    """Submits urgent and standard jobs, three times what the teams' limits allow at once, over slow links.
 
-async def _more_work_than_room() -> None:
-    """Urgent work and other, three times what the teams' limits take at once, over slow links to the state service."""
+    40 jobs are submitted within 20 s, requests to the state service take up to 0.25 s longer, and the leader restarts
+    every 8 s, three times. All jobs end as done.
+    """
     cluster = Cluster(4.0, 12, clock=SimulatedClock(), limits={"red": 32.0, "blue": 24.0})
     users = Users(cluster, Random(6))
     random = Random(9)
@@ -179,5 +200,5 @@
         await cluster.stop()
 
 
-def test_more_work_than_room_over_slow_links() -> None:
-    run_simulated(_more_work_than_room())
+def test_more_work_than_capacity_with_slow_state_service() -> None:
+    run_simulated(_submit_more_work_than_capacity())
