--- a/tests/test_random_failures.py
+++ b/tests/test_random_failures.py
@@ -1,7 +1,8 @@
-"""Troubles that were drawn meet, by simulated time; whatever they are, no rule is broken and all jobs end.
+"""Random combinations of failures in simulated time: no scheduling rule is violated and all jobs end.
 
-Each seed is one day of two minutes. `python -m tests.test_random_failures 100 200` plays more of them, with
-`more` behind it those with the troubles of "More meetings to hunt", with `log` what the controllers log.
+Each seed gives one scenario of two minutes. `python -m tests.test_random_failures FIRST LAST` runs the scenarios of the
+seeds from FIRST up to, but not including, LAST. `more` after them adds the failures of "More meetings to hunt", `log`
+prints what the controllers log.
 """
 
 import asyncio
@@ -16,48 +17,50 @@
 from tests.standins.simulated_time import SimulatedClock, run_simulated
 from tests.standins.users import Users
 
-JOBS = 20
-MORE_JOBS = 32  # teams are at their limits
-SUBMITTED_WITHIN = 40.0  # seconds
-ALL_OVER = 240.0  # after the end of all troubles every job is
+JOB_COUNT = 20
+MORE_JOB_COUNT = 32  # with `more`: enough for the teams to reach their limits
+SUBMITTED_WITHIN_S = 40.0  # all jobs are submitted in this time
+JOBS_END_WITHIN_S = 240.0  # after the last failure has ended, all jobs have to end in this time
 
 
-async def day(seed: int, *, more: bool = False) -> tuple[list[str], list[str]]:
-    """What was drawn, and what was broken.
+async def run_scenario(seed: int, *, more: bool = False) -> tuple[list[str], list[str]]:
+    """Runs the scenario of a seed; returns its descriptions and the violations.
 
-    ``more``: with the troubles of "More meetings to hunt", and with teams at their limit.
+    ``more``: with the failures of "More meetings to hunt", and with teams at their limits. The same seed gives the same
+    scenario only while the order of the random draws stays as it is.
     """
     random = Random(seed)
     zones = random.choice([("a",), ("a", "b"), ("a", "b", "c")])
     cancel_s = random.choice([5.5, 8.0, 12.0, 30.0])
     limits = {"red": 36.0, "blue": 36.0} if more else {"red": 40.0, "blue": 24.0}
     cluster = Cluster(cancel_s=cancel_s, clock=SimulatedClock(), zones=zones, limits=limits)
-    if random.random() < 0.6:  # machines are kept when nothing runs on them: there is room elsewhere at once
+    if random.random() < 0.6:  # controllers keep idle machines, so other machines have free capacity at once
         cluster.cloud.startup_s, cluster.idle_return_s = 15.0, 60.0
     cluster.start()
     users = Users(cluster, random)
-    troubles = RandomFailures(cluster, users, random, more=more)
+    failures = RandomFailures(cluster, users, random, more=more)
     watches = [asyncio.ensure_future(users.query_unknown_jobs()), asyncio.ensure_future(users.watch_waiting())]
     try:
-        users.start(MORE_JOBS if more else JOBS, SUBMITTED_WITHIN, cancel_share=0.3)
-        await troubles.run()
+        users.start(MORE_JOB_COUNT if more else JOB_COUNT, SUBMITTED_WITHIN_S, cancel_share=0.3)
+        await failures.run()
         users.failures_ended_at = users.now()
-        end = users.failures_ended_at + ALL_OVER
-        while users.now() < end and not all(life.done() for life in users.lifecycles):  # more may begin as others end
+        end = users.failures_ended_at + JOBS_END_WITHIN_S
+        # A lifecycle may add others to the list, so the list is read again after each wait.
+        while users.now() < end and not all(lifecycle.done() for lifecycle in users.lifecycles):
             await asyncio.wait(list(users.lifecycles), timeout=end - users.now())
-        for life in users.lifecycles:
-            if life.done() and not life.cancelled():
-                life.result()
-            life.cancel()
-        missing = sorted(users.accepted - users.final_status.keys())
-        broken = cluster.violations + [f"not over: {name}" for name in missing]
-        drawn = [
+        for lifecycle in users.lifecycles:
+            if lifecycle.done() and not lifecycle.cancelled():
+                lifecycle.result()
+            lifecycle.cancel()
+        not_ended = sorted(users.accepted - users.final_status.keys())
+        violations = cluster.violations + [f"not ended: {name}" for name in not_ended]
+        descriptions = [
             f"zones {len(zones)}, cancel_s {cancel_s:g}",
-            *troubles.descriptions,
+            *failures.descriptions,
             f"no answer for {users.longest_silence_s:.1f} s",
         ]
-        drawn.append(f"starts after a confirmed cancellation: {len(cluster.cloud.starts_after_cancel)}")
-        return drawn, broken
+        descriptions.append(f"starts after a confirmed cancellation: {len(cluster.cloud.starts_after_cancel)}")
+        return descriptions, violations
     finally:
         for watch in watches:
             watch.cancel()
@@ -65,31 +68,34 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_drawn_meetings(seed: int) -> None:
-    async def scene() -> None:
-        drawn, broken = await day(seed)
-        assert not broken, drawn
+def test_random_failures(seed: int) -> None:
+    async def scenario() -> None:
+        descriptions, violations = await run_scenario(seed)
+        assert not violations, descriptions
 
-    run_simulated(scene())
+    run_simulated(scenario())
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_more_drawn_meetings(seed: int) -> None:
-    async def scene() -> None:
-        drawn, broken = await day(seed, more=True)
-        assert not broken, drawn
+def test_more_random_failures(seed: int) -> None:
+    async def scenario() -> None:
+        descriptions, violations = await run_scenario(seed, more=True)
+        assert not violations, descriptions
 
-    run_simulated(scene())
+    run_simulated(scenario())
 
 
 def main(first: int, last: int, *, more: bool) -> None:
+    """Runs the scenarios of the seeds from ``first`` to ``last - 1`` and prints one line for each."""
     for seed in range(first, last):
 
-        async def scene(seed: int = seed) -> None:
-            drawn, broken = await day(seed, more=more)
-            print(seed, "; ".join(drawn), "BROKEN " + "; ".join(broken[:6]) if broken else "", flush=True)
+        async def scenario(seed: int = seed) -> None:
+            descriptions, violations = await run_scenario(seed, more=more)
+            print(
+                seed, "; ".join(descriptions), "BROKEN " + "; ".join(violations[:6]) if violations else "", flush=True
+            )
 
-        run_simulated(scene())
+        run_simulated(scenario())
 
 
 if __name__ == "__main__":
