--- a/tests/test_random_failures.py
+++ b/tests/test_random_failures.py
@@ -1,7 +1,7 @@
 """Random combinations of failures in simulated time: no scheduling rule is violated and all jobs end.
 
 Each seed gives one scenario of two minutes. `python -m tests.test_random_failures FIRST LAST` runs the scenarios of the
-seeds from FIRST up to, but not including, LAST. `more` after them adds the failures of "More meetings to hunt", `log`
+seeds from FIRST up to, but not including, LAST. `more` after them adds the second set of failures, `log`
 prints what the controllers log.
 """
 
@@ -26,7 +26,7 @@
 async def run_scenario(seed: int, *, more: bool = False) -> tuple[list[str], list[str]]:
     """Runs the scenario of a seed; returns its descriptions and the violations.
 
-    ``more``: with the failures of "More meetings to hunt", and with teams at their limits. The same seed gives the same
+    ``more``: with the second set of failures, and with teams at their limits. The same seed gives the same
     scenario only while the order of the random draws stays as it is.
     """
     random = Random(seed)
