--- a/gingerspar/coordination/cluster/delivery.py
+++ b/gingerspar/coordination/cluster/delivery.py
@@ -1,7 +1,7 @@
 """Delivery of answers to a machine: whether what the leader sends reaches it.
 
 In a one-way network failure a machine's reports arrive, but neither answers nor commands reach it.
-Its worker waits 4 s for each controller, then tries the next one, and goes round all of them. Its lease
+Its worker waits 4 s for each controller, then tries the next one, and so on through all of them. Its lease
 runs out again and again, while each controller sees a live machine. What is sent to it is lost, so it gets
 no work until its reports show that it receives answers.
 """
@@ -63,7 +63,7 @@
     """Returns whether a worker has tried the other controllers between two reports received here.
 
     ``elapsed`` is the time between the two reports, ``report_interval`` the usual one, and ``seq_increase`` the
-    growth of the report's sequence number: a worker that goes round sends a report to each of ``node_count``
+    growth of the report's sequence number: a worker that cycles through them sends a report to each of ``node_count``
     controllers. Both signs are required: after a pause of its process a controller receives reports late,
     and commands sent directly use up sequence numbers too.
     """
--- a/gingerspar/coordination/jobs/claims.py
+++ b/gingerspar/coordination/jobs/claims.py
@@ -2,7 +2,7 @@
 
 Every write is conditional on the version of the session key and on the version of
 the record. A write that is applied late, after the session or the claim has ended,
-therefore fails (see the late-result table of the write-up).
+therefore fails (docs/design.md, "Kept from the write-up": the attempt is the fencing token).
 """
 
 import asyncio
--- a/gingerspar/coordination/leader/dispatcher.py
+++ b/gingerspar/coordination/leader/dispatcher.py
@@ -197,9 +197,9 @@
         if report.session < machine.min_session or (report.session, report.seq) <= (machine.session, machine.seq):
             raise StaleReport
         if report.token < self.term and report.session == machine.token_session:
-            # A worker process never forgets a token, so the worker was restarted, and its new process numbers its
-            # reports anew. Delayed reports of the previous process can't be told apart from those of the new one, so
-            # the lease has to run out first.
+            # A worker process never forgets a token, so the worker was restarted, and its new process numbers its reports
+            # from the start again. Delayed reports of the previous process can't be told apart from those of the new one,
+            # so the lease has to run out first.
             raise StaleReport
         answer_received = self._received_last_answer(machine, report, now)
         machine.session, machine.seq = report.session, report.seq
@@ -245,7 +245,7 @@
 
         From then on its reports carry the token. A delayed report must not pass for the first one after a loss or
         a restart: its session may have ended when the machine was declared lost, or its worker may have ended and
-        numbers its reports anew (traces/told_directly). The report that is under way now may be one or two numbers
+        numbers its reports anew (traces/notified_directly). The report that is under way now may be one or two numbers
         older.
         """
         reported = (report.session, max(report.seq - 2, 0))
