--- a/gingerspar/coordination/leader/dispatcher.py
+++ b/gingerspar/coordination/leader/dispatcher.py
@@ -197,9 +197,9 @@
         if report.session < machine.min_session or (report.session, report.seq) <= (machine.session, machine.seq):
             raise StaleReport
         if report.token < self.term and report.session == machine.token_session:
-            # A worker process never forgets a token, so the worker was restarted, and its new process numbers its reports
-            # from the start again. Delayed reports of the previous process can't be told apart from those of the new one,
-            # so the lease has to run out first.
+            # A worker process never forgets a token, so the worker was restarted, and its new process numbers its
+            # reports from the start again. Delayed reports of the previous process can't be told apart from those of
+            # the new one, so the lease has to run out first.
             raise StaleReport
         answer_received = self._received_last_answer(machine, report, now)
         machine.session, machine.seq = report.session, report.seq
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,6 +1,6 @@
 """Races between claims, sweeps and late results, run against the state service stand-in.
 
-The races are those of docs/design.md, "Kept from the write-up": a result before a sweep, after a sweep, after a new claim.
+The races are those of docs/design.md, "Kept from the write-up": a result before a sweep, after it, after a new claim.
 """
 
 import asyncio
